--- /dev/null
+++ b/rosemaryfront-model/src/test/java/org/rosemaryfront/model/WrittenNamesTests.java
@@ -0,0 +1,90 @@
+package org.rosemaryfront.model;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.regex.MatchResult;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+
+import org.junit.jupiter.api.Test;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+/**
+ * Guards against another name for an event, or for an enum constant that is written into
+ * events, rows, documents or settings under its own name: whoever searches for it, or
+ * reads it in another build, no longer finds it. Unlike the catalogue of events, the
+ * names here are never written anew from the sources.
+ */
+class WrittenNamesTests {
+
+	private static final Path ROOT = Path.of("..");
+
+	private static final Pattern COMMENT = Pattern.compile("/\\*.*?\\*/|//[^\\n]*", Pattern.DOTALL);
+
+	private static final Pattern EVENT = Pattern.compile("^\\t([A-Z][A-Z0-9_]*)\\((\\d+)\\)[,;]", Pattern.MULTILINE);
+
+	/** An enum with its constants, up to the first that has a body of its own. */
+	private static final Pattern ENUM = Pattern
+		.compile("\\benum \\w+[^{]*\\{((?:\\s*[A-Z][A-Z0-9_]*(?:\\([^()]*\\))?\\s*,?)+)");
+
+	private static final Pattern ARGUMENTS = Pattern.compile("\\([^()]*\\)");
+
+	@Test
+	void shouldKeepNumberAndNameOfEveryEvent() {
+		List<String> found = sources().filter((source) -> source.contains("implements EventCode"))
+			.flatMap((source) -> EVENT.matcher(source).results())
+			.map((event) -> event.group(2) + ' ' + event.group(1))
+			.toList();
+		assertThat(found).containsExactlyInAnyOrderElementsOf(lines("events.txt"));
+	}
+
+	// A line holds the constants of one enum in their order, since places are told as
+	// well; the enum itself may get another name.
+	@Test
+	void shouldKeepNamesOfEnumConstantsThatAreWritten() {
+		List<String> found = sources().flatMap((source) -> ENUM.matcher(source).results())
+			.map(WrittenNamesTests::constants)
+			.collect(Collectors.toCollection(ArrayList::new));
+		List<String> missing = lines("constants.txt").stream().filter((line) -> !found.remove(line)).toList();
+		assertThat(missing).as("enums whose constants are gone or have another name").isEmpty();
+	}
+
+	private static String constants(MatchResult declared) {
+		String plain = ARGUMENTS.matcher(declared.group(1)).replaceAll("");
+		return Arrays.stream(plain.split("[\\s,]+")).filter((name) -> !name.isEmpty()).collect(Collectors.joining(" "));
+	}
+
+	private static List<String> lines(String resource) {
+		return read(Path.of("src/test/resources/names", resource)).lines().toList();
+	}
+
+	private static Stream<String> sources() {
+		try (Stream<Path> files = Files.walk(ROOT)) {
+			return files.filter((file) -> file.toString().contains("/src/main/java/"))
+				.filter((file) -> file.toString().endsWith(".java"))
+				.map((file) -> COMMENT.matcher(read(file)).replaceAll(""))
+				.toList()
+				.stream();
+		}
+		catch (IOException ex) {
+			throw new UncheckedIOException(ex);
+		}
+	}
+
+	private static String read(Path file) {
+		try {
+			return Files.readString(file);
+		}
+		catch (IOException ex) {
+			throw new UncheckedIOException(ex);
+		}
+	}
+
+}
