--- /dev/null
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/MetricNamesTests.java
@@ -0,0 +1,51 @@
+package org.rosemaryfront.gateway;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import org.junit.jupiter.api.Test;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+/** Guards against metrics that nobody's graphs find any more under their names. */
+class MetricNamesTests {
+
+	private static final List<String> NAMES = List.of("gauges/callers.connections",
+			"gauges/configuration.proven.millis", "gauges/control.lag.millis", "gauges/log.dropped",
+			"gauges/requests.held", "gauges/servers.connections", "gauges/servers.connections.opened",
+			"gauges/servers.proven.millis", "counters/calls.answered.200", "counters/calls.refused.404",
+			"counters/servers.unreadable", "histograms/calls.answer.millis.IDEMPOTENT",
+			"histograms/calls.first.millis.IDEMPOTENT");
+
+	@Test
+	void shouldKeepNamesOfMetricsWhenCallsAreAnsweredAndRefused() throws IOException {
+		try (GatewayHarness gateway = GatewayHarness.start();
+				ScriptedServer _ = gateway.serving((request, exchange) -> exchange.ok(request, "x"))) {
+			gateway.store.put(GatewayHarness.SERVERS, "s9", "unreadable");
+			assertThat(gateway.ask(RawCaller.get("c1", "/sheets/")).status()).isEqualTo(200);
+			assertThat(gateway.ask(RawCaller.get("c2", "/nowhere/")).status()).isEqualTo(404);
+			GatewayHarness.await(() -> names(gateway).size() >= NAMES.size());
+			assertThat(names(gateway)).containsExactlyInAnyOrderElementsOf(NAMES);
+		}
+	}
+
+	private static List<String> names(GatewayHarness gateway) {
+		try (RawCaller caller = new RawCaller(gateway.settings.metrics())) {
+			String body = caller.send("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n").read().body();
+			JsonNode metrics = RowJson.tree(body.getBytes(StandardCharsets.UTF_8), "metrics").path("metrics");
+			List<String> names = new ArrayList<>();
+			metrics.properties()
+				.forEach((kind) -> kind.getValue()
+					.fieldNames()
+					.forEachRemaining((name) -> names.add(kind.getKey() + '/' + name)));
+			return names;
+		}
+		catch (IOException ex) {
+			return List.of();
+		}
+	}
+
+}
