--- /dev/null
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ReportFormsTests.java
@@ -0,0 +1,135 @@
+package org.rosemaryfront.gateway;
+
+import java.util.HexFormat;
+import java.util.Optional;
+
+import com.google.protobuf.ByteString;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+import org.rosemaryfront.dispatch.BackendTable;
+import org.rosemaryfront.gateway.proto.CrashNews;
+import org.rosemaryfront.gateway.proto.GatewayReport;
+import org.rosemaryfront.gateway.proto.OrganisationUse;
+import org.rosemaryfront.gateway.proto.RolloutNews;
+import org.rosemaryfront.gateway.proto.RolloutTally;
+import org.rosemaryfront.gateway.proto.ServerUse;
+import org.rosemaryfront.gateway.proto.ServiceSpeed;
+import org.rosemaryfront.gateway.proto.TableNews;
+import org.rosemaryfront.gateway.proto.TableRow;
+import org.rosemaryfront.gateway.proto.TableRows;
+import org.rosemaryfront.gateway.proto.UnwrittenUse;
+import org.rosemaryfront.rollout.Phase;
+import org.rosemaryfront.rollout.RolloutOrder;
+import org.rosemaryfront.rollout.RolloutTable;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+/**
+ * Guards against reports that gateways of another build read as something else, since a
+ * field has another number or type, or a phase another place.
+ */
+class ReportFormsTests {
+
+	private static final TableRow ROW = TableRow.newBuilder()
+		.setKey("k")
+		.setValue(ByteString.copyFromUtf8("v"))
+		.setVersion(51)
+		.setRemoved(true)
+		.build();
+
+	@Test
+	void shouldKeepBytesOfReportWhenEveryFieldIsSet() {
+		GatewayReport report = GatewayReport.newBuilder()
+			.setGateway("g1")
+			.setStart(7)
+			.setNumber(8)
+			.addOrganisations(OrganisationUse.newBuilder().setOrganisation("sfax").setBegun(1).setUnits(2).setAsked(3))
+			.addServers(ServerUse.newBuilder()
+				.setServer("s1")
+				.setCalls(4)
+				.setUnreadTokens(5)
+				.setStartedMillis(6)
+				.addParts(9)
+				.addPartTokens(10))
+			.setReadingTokens(11)
+			.setLeaving(true)
+			.setAdminPort(12)
+			.setWindow(13)
+			.addUnwritten(UnwrittenUse.newBuilder().setWindow(14).setRow("r").setCounts(ByteString.copyFromUtf8("{}")))
+			.addSpeeds(ServiceSpeed.newBuilder().setService("app").addRates(0.5))
+			.setFresh(true)
+			.setGroup(15)
+			.addCrashes(CrashNews.newBuilder()
+				.setRequest(ByteString.copyFromUtf8("d"))
+				.setServer("s2")
+				.setStartedMillis(16)
+				.setAtMillis(17)
+				.setCleared(true))
+			.setHeardStart(18)
+			.setHeardNumber(19)
+			.setDutyFence(20)
+			.setReadsTables(true)
+			.addTables(TableNews.newBuilder()
+				.setTable("t")
+				.setVersion(21)
+				.setSince(22)
+				.addRows(ROW)
+				.setOmitted(true)
+				.setProvenMillis(23))
+			.addRollouts(RolloutNews.newBuilder()
+				.setService("app")
+				.setTo("v2")
+				.setDurationMillis(24)
+				.setNumber(25)
+				.setPhase(26)
+				.addTallies(RolloutTally.newBuilder()
+					.setRoute("x")
+					.setFreshCalls(27)
+					.setFreshBad(28)
+					.setOldCalls(29)
+					.setOldBad(30)))
+			.build();
+		assertThat(report.getAllFields()).hasSameSizeAs(GatewayReport.getDescriptor().getFields());
+		assertThat(hex(report.toByteArray())).isEqualTo("""
+				0a02673115070000001808220c0a0473666178180128023003\
+				2a170a0273311004180520062a08090000000000000032010a\
+				300b3801400c480d\
+				5209080e1201721a027b7d\
+				5a0f0a036170701208000000000000e03f6001\
+				7d0f000000\
+				82010d0a016412027332181020112801\
+				8d0112000000900113980114a00101\
+				aa01170a017410151816220a0a016b1201761833200128013817\
+				b2011c0a036170701202763218182019281a320b0a0178101b181c201d281e\
+				""");
+	}
+
+	@Test
+	void shouldKeepBytesOfTableWhenAnotherGatewayReadsIt() {
+		assertThat(hex(TableRows.newBuilder().setVersion(52).addRows(ROW).build().toByteArray()))
+			.isEqualTo("0834120a0a016b12017618332001");
+	}
+
+	@ParameterizedTest
+	@CsvSource({ "TRIAL, 1", "MOVING, 2", "SUCCEEDED, 3", "ROLLED_BACK, 4" })
+	void shouldKeepNumberOfPhaseWhenItIsTold(Phase phase, int number) {
+		Rollouts teller = rollouts();
+		teller.ordered(new RolloutOrder("app", "v2", 4_000, 9));
+		RolloutNews news = teller.news((_) -> Optional.of(phase), 1).getFirst();
+		assertThat(hex(news.toByteArray())).isEqualTo("0a0361707012027632" + "18a01f" + "2009" + "280" + number);
+		Rollouts hearer = rollouts();
+		hearer.heard("gateway-2/1", teller.news((_) -> Optional.of(phase), 1), 1);
+		assertThat(hearer.table().find("app").orElseThrow().phase()).isEqualTo(phase);
+	}
+
+	private static Rollouts rollouts() {
+		return new Rollouts(RolloutTable.empty(0.5), new BackendTable(), "gateway-1/1", () -> 0.5);
+	}
+
+	private static String hex(byte[] bytes) {
+		return HexFormat.of().formatHex(bytes);
+	}
+
+}
