--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Crash.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Crash.java
@@ -3,9 +3,9 @@
 import org.rosemaryfront.dispatch.BackendServer.Start;
 
 /**
- * A backend server crashed while it had a request.
+ * The crash, or possible crash, of a backend server while it had a request.
  *
- * @param request the request
+ * @param request the digest of the request
  * @param server the start of the server
  */
 public record Crash(RequestDigest request, Start server) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/CrashTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/CrashTable.java
@@ -20,81 +20,88 @@
 import org.rosemaryfront.dispatch.BackendServer.Start;
 
 /**
- * The requests under which backend servers crash.
+ * Tracks the requests that servers had when they crashed, and quarantines those that
+ * probably caused the crashes.
  *
  * <p>
- * A request can crash every server that begins to run it. Its caller sends it again,
- * under a new id, through any process; taken for a first one each time, one request took
- * down twenty servers within ten seconds, each with up to twenty calls of others. A
- * request under which three servers crashed is held back, at all processes and over their
- * restarts.
+ * A request can crash every server that begins to run it, and its caller retries it with
+ * a new request id through any process. When each retry was treated as a new request, one
+ * request crashed twenty servers within ten seconds, each with up to twenty calls of
+ * other callers. A request that three servers had when they crashed is quarantined in all
+ * processes, also after they restart.
  *
  * <p>
- * Most requests that a crashing server had are innocent. Against them speaks only a crash
- * that was confirmed, of a server that was not about to leave. It is cleared when the
- * server answers again, or when the request is answered whole. Where the servers crashed
- * at one moment, as when an availability zone loses power under a request that many ask
- * for, one copy is sent on trial.
+ * Most requests that a crashing server had did not cause the crash. Evidence is confirmed
+ * only when the server is known to have crashed and was not already leaving. It is
+ * cleared when the server responds again or the request gets a complete response. If the
+ * servers crashed at the same time, as when an availability zone loses power while many
+ * callers send the same request, one copy is sent as a probe.
  *
  * <p>
- * Used on one thread, but for {@link #isHeld}. Times are on the monotonic clock, in
- * nanoseconds, unless they say otherwise.
+ * Not thread-safe, except for {@link #isHeld} and {@link #heldCount}. Times are on the
+ * monotonic clock, in nanoseconds, unless stated otherwise.
  */
 public final class CrashTable {
 
 	/**
-	 * Servers that may crash under a request before it is held back. One or two happen to
-	 * innocent requests, which are sent again and land beside the guilty one once more.
+	 * The number of crashes at which a request is quarantined. One or two also occur for
+	 * harmless requests: they are retried and can share a server with the harmful request
+	 * a second time.
 	 */
 	public static final int HELD_AFTER = 3;
 
 	/**
-	 * Crashes that lie no further apart than this are one moment, in milliseconds: an
-	 * availability zone's servers go at once, and each copy of a guilty request waits for
-	 * its turn for a time of its own.
+	 * The longest time between crashes that count as simultaneous, in milliseconds: the
+	 * servers of an availability zone fail together, whereas copies of a harmful request
+	 * spend different times in the servers' queues.
 	 */
 	private static final long MOMENT_MILLIS = 250;
 
-	/** The pause behind a write that failed. */
+	/** The delay before a failed write is retried. */
 	private static final long WRITE_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
-	/** News told at once; a report stays well below the size of a datagram. */
+	/**
+	 * The maximum number of updates in one report, which keeps it well below the size of
+	 * a datagram.
+	 */
 	private static final int MOST_NEWS = 16;
 
 	/**
-	 * Requests that are remembered at most, about 300 bytes each. Those with the fewest
-	 * crashes are forgotten first.
+	 * The maximum number of requests in the table, about 300 bytes each. Those with the
+	 * fewest crashes are evicted first.
 	 */
 	private static final int MOST_REQUESTS = 4_096;
 
 	/**
-	 * Rows of requests with a single crash that this process lets into the store at most;
-	 * requests with more are always written.
+	 * The number of stored requests with a single crash at which this process stops
+	 * writing more of them; requests with more crashes are always written.
 	 */
 	private static final int MOST_SINGLE_ROWS = 1_024;
 
 	private final Map<RequestDigest, Suspect> suspects = new LinkedHashMap<>();
 
-	/** The requests that a server had when it crashed, or may have crashed. */
+	/** The requests that each server had when it crashed, or may have crashed. */
 	private final Map<Start, List<RequestDigest>> byServer = new HashMap<>();
 
 	/**
-	 * What may still be written or forgotten. It is looked at many times a second, and
-	 * nearly all that is known is settled.
+	 * The entries that may still be written or may expire. They are scanned many times a
+	 * second, and nearly all entries need neither.
 	 */
 	private final Set<Entry> unsettled = new LinkedHashSet<>();
 
-	/** Requests to be held back; read on any thread. */
+	/**
+	 * The quarantined requests, including those that may be probed; read on any thread.
+	 */
 	private final Set<RequestDigest> held = ConcurrentHashMap.newKeySet();
 
-	// -- what calls show
+	// -- observations of this process
 
 	/**
-	 * A connection broke off while its server had a request.
+	 * Records that a connection broke while its server had a request.
 	 * @param crash the server and the request
-	 * @param atMillis the time of day, in milliseconds since 1970
-	 * @param nowNanos the time
-	 * @return whether it must be found out if the server crashed
+	 * @param atMillis the current time of day, in milliseconds since 1970
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return whether the caller must check if the server crashed
 	 */
 	public boolean suspected(Crash crash, long atMillis, long nowNanos) {
 		if (find(crash).isPresent()) {
@@ -105,22 +112,22 @@
 	}
 
 	/**
-	 * A server has crashed.
+	 * Records that a server has crashed.
 	 * @param server the start of the server
-	 * @param nowNanos the time
-	 * @return what that confirms
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the evidence that this confirms
 	 */
 	public List<Evidence> crashed(Start server, long nowNanos) {
 		return change(entriesOf(server), State.CONFIRMED, nowNanos);
 	}
 
 	/**
-	 * A server answered a call that was sent after its connections broke, so that it has
-	 * not crashed.
+	 * Records that a server responded to a call. If the call was sent after a connection
+	 * broke, the server did not crash then.
 	 * @param server the start of the server
 	 * @param sentNanos when the call was sent
-	 * @param nowNanos the time
-	 * @return what that clears
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the evidence that this clears
 	 */
 	public List<Evidence> answers(Start server, long sentNanos, long nowNanos) {
 		if (!this.byServer.containsKey(server)) {
@@ -131,39 +138,40 @@
 	}
 
 	/**
-	 * A request was answered whole, or is released by an operator.
+	 * Clears the evidence against a request that got a complete response or was released
+	 * by an operator.
 	 * @param request the request
-	 * @param nowNanos the time
-	 * @return what that clears
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the evidence that this clears
 	 */
 	public List<Evidence> cleared(RequestDigest request, long nowNanos) {
 		Suspect suspect = this.suspects.get(request);
 		return (suspect != null) ? change(suspect.entries.values(), State.CLEARED, nowNanos) : List.of();
 	}
 
-	// -- what others tell
+	// -- updates from other processes and the store
 
 	/**
-	 * Takes what another process told.
+	 * Applies evidence received from another process.
 	 * @param told the evidence
-	 * @param nowNanos the time
-	 * @return whether it is news
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return whether this changed the evidence
 	 */
 	public boolean heard(Evidence told, long nowNanos) {
 		return take(told, nowNanos).isPresent();
 	}
 
 	/**
-	 * Takes a row of the store.
-	 * @param row the evidence in it
-	 * @param nowNanos the time
-	 * @return whether it is news
+	 * Applies a row read from the store.
+	 * @param row the evidence in the row
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return whether this changed the evidence
 	 */
 	public boolean stored(Evidence row, long nowNanos) {
 		boolean news = take(row, nowNanos).isPresent();
 		find(row.crash()).ifPresent((entry) -> {
 			entry.hasRow = true;
-			// A row in an earlier state may come from a write that was late.
+			// A row in an earlier state may result from a delayed write.
 			entry.stored = entry.evidence.state() == row.state();
 			this.unsettled.add(entry);
 		});
@@ -171,17 +179,17 @@
 	}
 
 	/**
-	 * A row is no longer in the store.
-	 * @param crash what it was about
+	 * Removes evidence whose row is no longer in the store.
+	 * @param crash the crash that the row described
 	 */
 	public void removed(Crash crash) {
 		find(crash).filter((entry) -> entry.hasRow).ifPresent((_) -> remove(crash));
 	}
 
 	/**
-	 * Takes whether the one trial of a request was given away.
+	 * Records whether the single probe of a request has been granted.
 	 * @param request the request
-	 * @param given whether some process has it, or had it
+	 * @param given whether a process has, or had, the probe
 	 */
 	public void trial(RequestDigest request, boolean given) {
 		if (given) {
@@ -192,7 +200,7 @@
 		}
 	}
 
-	// Evidence only moves forward, so that news may come in any order and more than once.
+	// The state of evidence only advances, so updates may be reordered and duplicated.
 	private Optional<Entry> take(Evidence told, long nowNanos) {
 		Optional<Entry> known = find(told.crash());
 		if (known.isEmpty()) {
@@ -209,13 +217,15 @@
 		return known;
 	}
 
-	// -- what is to be told
+	// -- updates for the store and other processes
 
 	/**
-	 * What the store lacks, that which weighs most first.
-	 * @param most the most rows that are wanted
-	 * @param nowNanos the time
-	 * @return the rows, to be confirmed by {@link #written} or {@link #notWritten}
+	 * Returns the evidence to be written to the store, that of requests with the most
+	 * crashes first.
+	 * @param most the maximum number of rows
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the rows; the caller reports each outcome with {@link #written} or
+	 * {@link #notWritten}
 	 */
 	public List<Evidence> unwritten(int most, long nowNanos) {
 		List<Entry> due = this.unsettled.stream().filter((entry) -> entry.isDue(isSingle(entry), nowNanos)).toList();
@@ -240,7 +250,7 @@
 	}
 
 	/**
-	 * The store has a row in this state or a later one.
+	 * Records that the store has a row in this state or a later one.
 	 * @param row the row
 	 */
 	public void written(Evidence row) {
@@ -251,18 +261,19 @@
 	}
 
 	/**
-	 * It is not known whether the store has a row.
+	 * Records that a write failed or its outcome is unknown, and schedules a retry.
 	 * @param row the row
-	 * @param nowNanos the time
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void notWritten(Evidence row, long nowNanos) {
 		find(row.crash()).ifPresent((entry) -> entry.writeFrom(nowNanos + WRITE_AGAIN_NANOS));
 	}
 
 	/**
-	 * What this process saw of late, for the others, that which weighs most first.
-	 * @param nowNanos the time
-	 * @return the news
+	 * Returns the recent observations of this process to be reported to the other
+	 * processes, those of requests with the most crashes first.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the updates
 	 */
 	public List<Evidence> news(long nowNanos) {
 		return this.suspects.values()
@@ -275,13 +286,13 @@
 			.toList();
 	}
 
-	// -- time
+	// -- expiry
 
 	/**
-	 * Forgets connections that broke without any sign of a crash, and what was cleared
-	 * before the store had it.
-	 * @param nowNanos the time
-	 * @return the requests of which something was forgotten
+	 * Removes suspected crashes that were not confirmed in time, and cleared evidence
+	 * that has no row in the store.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the requests whose evidence was removed, once for each removed entry
 	 */
 	public List<RequestDigest> expire(long nowNanos) {
 		this.unsettled.removeIf(Entry::isSettled);
@@ -296,19 +307,19 @@
 	// -- queries
 
 	/**
-	 * Whether a request is held back, or needs a trial; for a last look before it is
-	 * sent, on any thread.
+	 * Returns whether a request is quarantined; for the final check before it is sent.
+	 * May be called on any thread.
 	 * @param request the request
-	 * @return true when it must not be sent but for a trial
+	 * @return true if the request must not be sent, except as a probe
 	 */
 	public boolean isHeld(RequestDigest request) {
 		return !this.held.isEmpty() && this.held.contains(request);
 	}
 
 	/**
-	 * What may be done with a request.
+	 * Decides whether a request may be sent.
 	 * @param request the request
-	 * @return the judgement
+	 * @return the decision
 	 */
 	public Judgement judge(RequestDigest request) {
 		Suspect suspect = this.suspects.get(request);
@@ -325,17 +336,17 @@
 	}
 
 	/**
-	 * What is known of a crash.
+	 * Returns the evidence of a crash.
 	 * @param crash the crash
-	 * @return the evidence, empty when there is none
+	 * @return the evidence, empty if there is none
 	 */
 	public Optional<Evidence> evidence(Crash crash) {
 		return find(crash).map((entry) -> entry.evidence);
 	}
 
 	/**
-	 * All that is known.
-	 * @return the evidence by request, the oldest request first
+	 * Returns all evidence.
+	 * @return the evidence by request, in the order in which the requests were added
 	 */
 	public Map<RequestDigest, List<Evidence>> all() {
 		Map<RequestDigest, List<Evidence>> all = new LinkedHashMap<>();
@@ -345,16 +356,17 @@
 	}
 
 	/**
-	 * The requests that are remembered.
-	 * @return the count
+	 * Returns the number of requests in the table.
+	 * @return the number of requests
 	 */
 	public int size() {
 		return this.suspects.size();
 	}
 
 	/**
-	 * The requests that are held back; may be asked on any thread.
-	 * @return the count
+	 * Returns the number of quarantined requests, including those that may be probed. May
+	 * be called on any thread.
+	 * @return the number of requests
 	 */
 	public int heldCount() {
 		return this.held.size();
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Evidence.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Evidence.java
@@ -1,40 +1,40 @@
 package org.rosemaryfront.crashes;
 
 /**
- * What is known of one crash of a server that had a request.
+ * Evidence of one crash, or possible crash, of a server that had a request.
  *
  * @param crash the server and the request
- * @param state how sure it is
- * @param atMillis when the server's connection broke, in milliseconds since 1970, by the
- * clock of the process that saw it
+ * @param state how certain the crash is
+ * @param atMillis when the connection to the server broke, in milliseconds since 1970, by
+ * the clock of the process that observed it
  */
 public record Evidence(Crash crash, State state, long atMillis) {
 
 	/**
-	 * The same crash in another state.
+	 * Returns evidence of the same crash in another state.
 	 * @param newer the state
-	 * @return the evidence
+	 * @return the evidence, the same instance if the state is unchanged
 	 */
 	Evidence in(State newer) {
 		return (newer == this.state) ? this : new Evidence(this.crash, newer, this.atMillis);
 	}
 
-	/** How sure a crash is; a later state takes the place of an earlier one. */
+	/** The certainty of a crash; a later state replaces an earlier one. */
 	public enum State {
 
 		/**
-		 * A connection broke off while the server had the request. That alone shows no
-		 * crash: answers are cut by servers that live, and connections are reset.
+		 * A connection broke while the server had the request. This alone does not show a
+		 * crash: live servers also truncate responses, and connections are reset.
 		 */
 		SUSPECTED,
 
-		/** The server has crashed since, and it had not been about to leave. */
+		/** The server has crashed since then, and it was not already leaving. */
 		CONFIRMED,
 
 		/**
-		 * It does not speak against the request: the server answered again, the request
-		 * was answered whole, or an operator released it. Kept for a while, so that late
-		 * news of the crash does not count.
+		 * The crash does not count against the request: the server responded again, the
+		 * request got a complete response, or an operator released it. Retained for some
+		 * time, so that late updates about the crash have no effect.
 		 */
 		CLEARED
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Judgement.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Judgement.java
@@ -4,25 +4,25 @@
 
 import org.rosemaryfront.dispatch.BackendServer.Start;
 
-/** What may be done with a request by the crashes that are known. */
+/** Whether a request may be sent, given the known crashes. */
 public sealed interface Judgement {
 
 	/**
-	 * Of a request of which nothing is known.
-	 * @return the judgement
+	 * Returns the decision for a request without any evidence.
+	 * @return the decision
 	 */
 	static Judgement none() {
 		return Free.UNSUSPECTED;
 	}
 
 	/**
-	 * The servers that crashed while they had the request.
+	 * Returns the servers that crashed, or may have crashed, while they had the request.
 	 * @return the starts of the servers, in the order of the crashes
 	 */
 	List<Start> servers();
 
 	/**
-	 * It may be sent.
+	 * The request may be sent.
 	 *
 	 * @param servers the servers that crashed
 	 */
@@ -37,8 +37,9 @@
 	}
 
 	/**
-	 * It is held back, but its servers crashed at one moment, which speaks for the
-	 * request: one copy may be sent, once and for all processes together.
+	 * The request is quarantined, but its servers crashed at the same time, which
+	 * suggests a cause outside the request: one copy may be sent as a probe, once across
+	 * all processes.
 	 *
 	 * @param servers the servers that crashed
 	 */
@@ -51,7 +52,7 @@
 	}
 
 	/**
-	 * It is held back.
+	 * The request is quarantined and must not be sent.
 	 *
 	 * @param servers the servers that crashed
 	 */
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/RequestDigest.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/RequestDigest.java
@@ -7,54 +7,55 @@
 import java.util.HexFormat;
 
 /**
- * Names a request by what it is: its caller, method, host, target and whole body. The
- * same request has the same digest under any id and deadline, at any process.
+ * A digest that identifies a request by its content: caller, method, host, target and
+ * complete body. The same request has the same digest in every process, whatever its
+ * request id and deadline.
  *
  * <p>
- * The first half of a SHA-256, so that nobody can make a request with the digest of
- * another one and have that refused.
+ * It is the first half of a SHA-256 hash, so that a caller cannot construct a request
+ * with the digest of another one and thereby get the other one refused.
  *
- * @param high its first eight bytes
- * @param low its last eight bytes
+ * @param high the first eight bytes
+ * @param low the last eight bytes
  */
 public record RequestDigest(long high, long low) {
 
-	/** How long a digest is, in bytes. */
+	/** The length of a digest, in bytes. */
 	public static final int BYTES = 16;
 
 	// -- factories
 
 	/**
-	 * Begins the digest of a request whose body is still to come.
-	 * @param organisation whose request it is, empty when nobody's
-	 * @param method the method
+	 * Creates a builder for the digest of a request whose body has not been received yet.
+	 * @param organisation the organisation that sent the request, empty if there is none
+	 * @param method the HTTP method
 	 * @param host the host, without port, in lower case
-	 * @param target the path with its query
-	 * @return the digest under way
+	 * @param target the path and query
+	 * @return the builder
 	 */
 	public static Builder begin(String organisation, String method, String host, String target) {
 		return new Builder().field(organisation).field(method).field(host).field(target);
 	}
 
 	/**
-	 * Reads a digest.
-	 * @param bytes its bytes
+	 * Creates a digest from its bytes.
+	 * @param bytes the bytes
 	 * @return the digest
-	 * @throws IllegalArgumentException when there are not as many as a digest has
+	 * @throws IllegalArgumentException if the length is not {@link #BYTES}
 	 */
 	public static RequestDigest of(byte[] bytes) {
 		if (bytes.length != BYTES) {
-			throw new IllegalArgumentException("a digest of " + bytes.length + " bytes");
+			throw new IllegalArgumentException("a digest must have 16 bytes, got " + bytes.length + " bytes");
 		}
 		ByteBuffer buffer = ByteBuffer.wrap(bytes);
 		return new RequestDigest(buffer.getLong(), buffer.getLong());
 	}
 
 	/**
-	 * Reads a digest from its text.
-	 * @param text hexadecimal digits
+	 * Parses a digest.
+	 * @param text the digest in hexadecimal digits
 	 * @return the digest
-	 * @throws IllegalArgumentException when it is none
+	 * @throws IllegalArgumentException if the text is not a digest
 	 */
 	public static RequestDigest parse(String text) {
 		return of(HexFormat.of().parseHex(text));
@@ -63,7 +64,7 @@
 	// -- queries
 
 	/**
-	 * The bytes of the digest.
+	 * Returns the bytes of the digest.
 	 * @return a new array
 	 */
 	public byte[] bytes() {
@@ -75,7 +76,7 @@
 		return HexFormat.of().formatHex(bytes());
 	}
 
-	/** A digest that grows with the body. */
+	/** Computes a digest while the body is received. */
 	public static final class Builder {
 
 		private final MessageDigest hash = sha256();
@@ -83,7 +84,8 @@
 		private Builder() {
 		}
 
-		// With its length in front: fields cannot be shifted into one another.
+		// The length prefix keeps requests distinct whose fields have equal
+		// concatenations.
 		private Builder field(String text) {
 			byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
 			this.hash.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).flip());
@@ -92,15 +94,15 @@
 		}
 
 		/**
-		 * Takes a piece of the body.
-		 * @param bytes the bytes, which are read to their end
+		 * Adds the next bytes of the body.
+		 * @param bytes the bytes, which are read to the end of the buffer
 		 */
 		public void body(ByteBuffer bytes) {
 			this.hash.update(bytes);
 		}
 
 		/**
-		 * Ends the body.
+		 * Completes the digest at the end of the body.
 		 * @return the digest
 		 */
 		public RequestDigest end() {
@@ -113,7 +115,8 @@
 				return MessageDigest.getInstance("SHA-256");
 			}
 			catch (NoSuchAlgorithmException ex) {
-				throw new IllegalStateException("every Java platform has SHA-256", ex);
+				throw new IllegalStateException("SHA-256 not available, although every Java platform must support it",
+						ex);
 			}
 		}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Suspect.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Suspect.java
@@ -10,37 +10,42 @@
 import org.rosemaryfront.dispatch.BackendServer.Start;
 
 /**
- * A request with the servers that crashed, or may have crashed, while they had it.
+ * A request and the evidence of servers that crashed, or may have crashed, while they had
+ * it.
  */
 final class Suspect {
 
 	/**
-	 * How long a broken connection is remembered until it is known whether its server
+	 * The retention of a broken connection while it is unknown whether its server
 	 * crashed; a new connection is made or refused within half a second.
 	 */
 	private static final long SUSPECTED_NANOS = TimeUnit.SECONDS.toNanos(10);
 
 	/**
-	 * How long the first crash of a request waits for its way to the store: innocent
-	 * requests that are sent again are answered by then, and need no row.
+	 * The delay before the first crash of a request is written to the store: by then, a
+	 * request that did not cause the crash has been retried and answered, and needs no
+	 * row.
 	 */
 	private static final long FIRST_WRITE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
 	/**
-	 * How long a crash that another process told of may take to come from the store,
-	 * before this one writes it: the other may not reach the store.
+	 * The time to wait for a crash that another process reported to appear in the store
+	 * before this process writes it: the other process may be unable to reach the store.
 	 */
 	private static final long HEARD_WRITE_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
 
-	/** How long news are told to the other processes: several reports, some get lost. */
+	/**
+	 * How long an update is included in the reports to the other processes: several
+	 * reports, since some are lost.
+	 */
 	private static final long NEWS_NANOS = TimeUnit.SECONDS.toNanos(2);
 
 	final Map<Start, Entry> entries = new LinkedHashMap<>();
 
-	/** Whether some process has, or had, the one trial of the request. */
+	/** Whether a process has, or had, the single probe of the request. */
 	boolean trialGiven;
 
-	// What speaks against it, in the order of time.
+	// The evidence that counts against the request, oldest first.
 	List<Evidence> against() {
 		return this.entries.values()
 			.stream()
@@ -50,32 +55,32 @@
 			.toList();
 	}
 
-	// Whether all that the store has of it is one crash.
+	// Whether the request has a single crash, and the store needs no further write of it.
 	boolean isSingleRow() {
 		return this.entries.size() == 1 && this.entries.values().iterator().next().stored;
 	}
 
-	/** Evidence with where it was told. */
+	/** Evidence with the progress of its writing to the store and its reporting. */
 	static final class Entry {
 
 		Evidence evidence;
 
-		/** When this process knew of the crash. */
+		/** When this process first recorded the crash. */
 		final long sinceNanos;
 
-		/** Whether the store needs no row in this state any more. */
+		/** Whether the store needs no further write for the current state. */
 		boolean stored;
 
-		/** Whether the store has a row of it, in whichever state. */
+		/** Whether the store has a row for the crash, in any state. */
 		boolean hasRow;
 
-		/** When it is written at the earliest. */
+		/** The earliest time of the next write. */
 		private long writeNanos;
 
-		/** The same while it is the only crash of its request. */
+		/** The earliest time of the next write while this is the request's only crash. */
 		private long writeSingleNanos;
 
-		/** Until when the other processes are told. */
+		/** The end of the period in which the evidence is reported. */
 		private long newsUntilNanos;
 
 		Entry(Evidence evidence, long nowNanos) {
@@ -97,7 +102,7 @@
 		void change(State state, long nowNanos) {
 			this.evidence = this.evidence.in(state);
 			this.newsUntilNanos = nowNanos + NEWS_NANOS;
-			// What was cleared before it was written needs no row.
+			// Evidence that was cleared before it was written needs no row.
 			this.stored = state == State.CLEARED && !this.hasRow;
 			this.writeNanos = nowNanos;
 			this.writeSingleNanos = nowNanos + ((state == State.CONFIRMED) ? FIRST_WRITE_NANOS : 0);
@@ -118,7 +123,7 @@
 			return nowNanos - this.newsUntilNanos < 0;
 		}
 
-		// Whether neither the store nor time changes anything of it.
+		// Whether there is nothing left to write or to expire.
 		boolean isSettled() {
 			return this.stored && (this.evidence.state() == State.CONFIRMED || this.hasRow);
 		}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/package-info.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Requests under which backend servers crash: which request it is whoever sends it, what
- * speaks for and against it, and when it is held back.
+ * Detection and quarantine of requests that crash backend servers: identification of a
+ * request independently of its sender's request id, evidence of crashes, and the decision
+ * whether the request may be sent.
  */
 package org.rosemaryfront.crashes;
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashFleet.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashFleet.java
@@ -15,14 +15,14 @@
 import org.rosemaryfront.dispatch.BackendServer.Start;
 
 /**
- * Gateways before servers that crash, on virtual time. One request crashes each server
- * that begins to run it and comes again through any gateway; other requests run beside it
- * and are sent again once when their server is lost. Gateways tell one another and write
- * into a store, each of which may be away.
+ * Simulates, on virtual time, gateways that send requests to servers that crash. One
+ * request crashes each server that begins to run it and is retried through any gateway;
+ * other requests run on the same servers and are retried once if their server crashes.
+ * Gateways exchange reports and write to a store; both channels can fail.
  */
 final class CrashFleet {
 
-	/** After this time gateways have learned what others saw. */
+	/** The time after which all gateways have received what the others observed. */
 	private static final long CONTACT_MILLIS = 3_000;
 
 	private static final int TELL_MILLIS = 250;
@@ -31,13 +31,13 @@
 
 	private static final int TELL_SOON_MILLIS = 50;
 
-	/** Of a report, of a row's way to all, and of a new connection that is refused. */
+	/** The delay of a report, of a row's propagation, and of a refused new connection. */
 	private static final int DELAY_MILLIS = 15;
 
-	/** A request waits at its server before it begins to run, at most. */
+	/** The maximum time that a request waits in the queue of its server. */
 	private static final int QUEUE_MILLIS = 600;
 
-	/** From its first token to the crash. */
+	/** The time from the first token of the request to the crash. */
 	private static final int CRASH_MILLIS = 70;
 
 	private static final int RUN_MILLIS = 300;
@@ -54,7 +54,7 @@
 
 	private final PriorityQueue<Event> events = new PriorityQueue<>();
 
-	// The store.
+	// -- store
 
 	private final Map<Crash, Evidence> rows = new LinkedHashMap<>();
 
@@ -64,7 +64,7 @@
 
 	private boolean deaf;
 
-	// What is seen.
+	// -- results
 
 	private final List<Long> guiltyCrashes = new ArrayList<>();
 
@@ -90,19 +90,19 @@
 		return new CrashFleet(gateways, seed);
 	}
 
-	/** A request that nobody sent before. */
+	/** Returns a request that has not been sent before. */
 	RequestDigest request() {
 		RequestDigest.Builder builder = RequestDigest.begin("sfax", "POST", "a.example", "/quotes/");
 		builder.body(ByteBuffer.allocate(Long.BYTES).putLong(this.names++).flip());
 		return builder.end();
 	}
 
-	// -- what happens
+	// -- simulated events
 
 	/**
-	 * Lets time pass.
-	 * @param millis how long
-	 * @param load what comes in
+	 * Advances the simulation.
+	 * @param millis the time, in milliseconds
+	 * @param load the incoming requests
 	 */
 	void run(long millis, Load load) {
 		for (long until = this.nowMillis + millis; this.nowMillis < until; this.nowMillis++) {
@@ -137,7 +137,7 @@
 	}
 
 	/**
-	 * All gateways are killed; other processes start in their places and read the store.
+	 * Kills all gateways and starts new processes in their place, which read the store.
 	 */
 	void killAll() {
 		this.servers.forEach((server) -> server.calls.clear());
@@ -146,14 +146,14 @@
 	}
 
 	/**
-	 * Servers crash at one moment, under no request's fault.
-	 * @param count how many
+	 * Crashes servers simultaneously, without a request as the cause.
+	 * @param count the number of servers
 	 */
 	void loseServers(int count) {
 		this.servers.stream().filter((server) -> server.lives).limit(count).toList().forEach(Server::crash);
 	}
 
-	/** A server resets all its connections and lives on. */
+	/** Resets all connections of a server, which stays alive. */
 	void resetConnections() {
 		Server server = this.servers.get(this.random.nextInt(SERVERS));
 		List<Copy> calls = List.copyOf(server.calls.keySet());
@@ -161,13 +161,15 @@
 		calls.forEach(server.calls::remove);
 	}
 
-	// -- what is seen
+	// -- results
 
 	int guiltyCrashes() {
 		return this.guiltyCrashes.size();
 	}
 
-	/** Sendings that gateways in touch should not have made. */
+	/**
+	 * Returns the number of times the request was sent after the time for propagation.
+	 */
 	int sendingsTooMany() {
 		if (this.guiltyCrashes.size() < CrashTable.HELD_AFTER) {
 			return 0;
@@ -192,7 +194,7 @@
 		return this.rows.size();
 	}
 
-	// -- inside
+	// -- internals
 
 	private boolean comes(double perSecond) {
 		return this.random.nextDouble() < perSecond / 1_000;
@@ -210,7 +212,7 @@
 		return TimeUnit.MILLISECONDS.toNanos(this.nowMillis);
 	}
 
-	// Copies that wait for their turn are taken back once their request is held back.
+	// Copies in the servers' queues are withdrawn once their request is quarantined.
 	private void withdraw(RequestDigest request) {
 		for (Gateway gateway : this.gateways) {
 			if (gateway.table.judge(request) instanceof Judgement.Held) {
@@ -221,7 +223,7 @@
 		}
 	}
 
-	// A row is seen by all who reach the store, a while later.
+	// All gateways read a new row after a delay, unless the store is unavailable then.
 	private void put(Evidence row) {
 		Evidence before = this.rows.get(row.crash());
 		if (before == null || before.state().compareTo(row.state()) < 0) {
@@ -234,7 +236,7 @@
 		}
 	}
 
-	/** A gateway with what it knows of crashes. */
+	/** A gateway with its table of crashes. */
 	private final class Gateway {
 
 		private final CrashTable table = new CrashTable();
@@ -342,7 +344,7 @@
 
 	}
 
-	/** A server with the calls that it has, each with the gateway that waits for it. */
+	/** A server with its calls, each with the gateway that sent it. */
 	private final class Server {
 
 		private Start start = name();
@@ -391,13 +393,13 @@
 	}
 
 	/**
-	 * What comes in.
+	 * The incoming requests.
 	 *
 	 * @param guilty the request that crashes its servers
-	 * @param guiltyPerSecond how often it comes
-	 * @param popular a request that many ask for
-	 * @param popularPerSecond how often it comes
-	 * @param otherPerSecond how many requests come once
+	 * @param guiltyPerSecond the rate of this request
+	 * @param popular a request that many callers send
+	 * @param popularPerSecond the rate of this request
+	 * @param otherPerSecond the rate of requests that are sent only once
 	 */
 	record Load(RequestDigest guilty, double guiltyPerSecond, RequestDigest popular, double popularPerSecond,
 			double otherPerSecond) {
@@ -408,7 +410,7 @@
 
 	}
 
-	/** One sending of a request. */
+	/** One attempt to send a request. */
 	private static final class Copy {
 
 		private final RequestDigest request;
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashFleetTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashFleetTests.java
@@ -13,16 +13,21 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Nine servers, seventy requests a second beside one that crashes its servers. That one
- * was seen to come 1.6 times a second, and servers to crash up to 0.8 s after they were
- * given it.
+ * Simulations with nine servers and seventy requests per second, and one request that
+ * crashes its servers. Such a request was observed 1.6 times per second, with servers
+ * that crashed up to 0.8 s after it was sent to them.
  */
 class CrashFleetTests {
 
-	/** What the users allow behind the third server and the time of contact. */
+	/**
+	 * The required maximum number of sends of the request after the third crash and the
+	 * time for propagation.
+	 */
 	private static final int MOST_SENDINGS = 3;
 
-	/** The servers that one request may cost at the most: our aim. */
+	/**
+	 * The maximum number of servers that one request may crash, an internal target.
+	 */
 	private static final int MOST_SERVERS = 5;
 
 	private static final double GUILTY = 1.6;
@@ -31,11 +36,12 @@
 
 	private static final double OTHERS = 70;
 
-	/** Innocent requests that may be refused: below one in a thousand of those sent. */
+	/** The maximum number of refused harmless requests: below 0.1 % of those sent. */
 	private static final int MOST_REFUSED = 1;
 
-	// One request crashes each server that begins to run it and comes again through any
-	// gateway. Known by the id of one attempt only, it took down a server each time.
+	// One request crashes each server that begins to run it and is retried through any
+	// gateway. When it was identified only by the id of each attempt, every attempt
+	// crashed a server.
 	@ParameterizedTest
 	@MethodSource("fleets")
 	void shouldLoseFewServersToOneRequest(int gateways, long seed, Trouble trouble) {
@@ -63,8 +69,9 @@
 					.mapToObj((seed) -> Arguments.of(gateways, (long) seed, trouble))));
 	}
 
-	// An availability zone loses power under a request that many ask for: a copy of it
-	// was at each server. Counted by servers alone it would be refused for good.
+	// An availability zone loses power while each of its servers has a copy of a popular
+	// request. If only the number of crashed servers counted, the request would be
+	// refused permanently.
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 1, 2, 3, 4, 5, 6, 7 })
 	void shouldServePopularRequestOnceItsServersCrashedAtOneMoment(long seed) {
@@ -78,8 +85,9 @@
 		assertThat(fleet.refused(load.popular())).isEqualTo(before);
 	}
 
-	// Servers crash one after the other, under no request's fault, and connections are
-	// reset: requests that are sent again and land beside a crash once more are innocent.
+	// Servers crash one after the other without being caused by a request, and
+	// connections are reset: requests that are retried and lose a server again are
+	// harmless.
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 1, 2, 3, 4, 5, 6, 7 })
 	void shouldRefuseNothingWhenServersCrashByThemselves(long seed) {
@@ -94,19 +102,19 @@
 		assertThat(fleet.refusedBut(load.guilty())).isLessThanOrEqualTo(MOST_REFUSED);
 	}
 
-	/** What else goes wrong. */
+	/** Additional faults during a simulation. */
 	enum Trouble {
 
-		/** Nothing. */
+		/** No additional fault. */
 		NONE,
 
-		/** Gateways do not hear one another, and reach the store. */
+		/** Gateways receive no reports from one another, but reach the store. */
 		DEAF,
 
-		/** The store is away, and gateways hear one another. */
+		/** The store is unavailable, but gateways receive reports from one another. */
 		STORE_AWAY,
 
-		/** All gateways are killed once servers were lost. */
+		/** All gateways are killed after servers have crashed. */
 		KILL_OF_ALL;
 
 		void begin(CrashFleet fleet) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashTableTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashTableTests.java
@@ -22,7 +22,7 @@
 
 	private final CrashTable table = new CrashTable();
 
-	// -- what speaks against a request
+	// -- evidence against a request
 
 	@ParameterizedTest
 	@CsvSource({ "0, Free", "1, Free", "2, Free", "3, Held", "4, Held" })
@@ -40,8 +40,8 @@
 		assertThat(this.table.isHeld(GUILTY)).isTrue();
 	}
 
-	// Answers are cut by servers that live, and connections reset: a server that takes a
-	// connection right behind that has not crashed.
+	// Live servers also truncate responses, and connections are reset: a server that
+	// accepts a connection right after that has not crashed.
 	@Test
 	void shouldForgetBrokenConnectionsWhenServersLive() {
 		for (int i = 0; i < 5; i++) {
@@ -59,7 +59,7 @@
 		assertThat(this.table.size()).isZero();
 	}
 
-	// -- what speaks for it
+	// -- clearing of evidence
 
 	@Test
 	void shouldReleaseRequestWhenItIsAnsweredWhole() {
@@ -69,8 +69,8 @@
 		assertThat(this.table.judge(GUILTY)).isInstanceOf(Judgement.Free.class);
 	}
 
-	// A call that was sent before the connections broke may be answered from what had
-	// come already.
+	// A call that was sent before the connections broke may be completed from data that
+	// had already been received.
 	@ParameterizedTest
 	@CsvSource({ "-1, 3", "1, 2" })
 	void shouldClearCrashOnlyByAnswerToLaterCall(long sentNanos, int left) {
@@ -79,7 +79,7 @@
 		assertThat(this.table.judge(GUILTY).servers()).hasSize(left);
 	}
 
-	// News come in any order and more than once: what was cleared stays so.
+	// Updates may be reordered and duplicated: cleared evidence must stay cleared.
 	@Test
 	void shouldNotCountAgainWhatWasCleared() {
 		crash(GUILTY, 3);
@@ -89,12 +89,12 @@
 			this.table.stored(new Evidence(new Crash(GUILTY, server(i)), State.CONFIRMED, i * 1_000L), SECOND);
 		}
 		assertThat(this.table.isHeld(GUILTY)).isFalse();
-		// A row that says otherwise was written late, and is written anew.
+		// A row in an earlier state results from a delayed write and must be rewritten.
 		assertThat(this.table.unwritten(10, SECOND)).hasSize(3)
 			.allMatch((evidence) -> evidence.state() == State.CLEARED);
 	}
 
-	// -- the trial
+	// -- probe
 
 	@Test
 	void shouldTryRequestOnceWhenServersCrashedAtOneMoment() {
@@ -107,7 +107,7 @@
 		assertThat(this.table.judge(GUILTY)).isInstanceOf(Judgement.Held.class);
 	}
 
-	// -- the others
+	// -- updates for the store and other processes
 
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
@@ -127,7 +127,7 @@
 		assertThat(this.table.news(5 * SECOND)).isEmpty();
 	}
 
-	// An innocent request is sent again and answered before its one crash is written.
+	// A harmless request is retried and answered before its only crash is written.
 	@Test
 	void shouldWriteNoRowForRequestThatIsAnsweredAtOnce() {
 		crash(GUILTY, 1);
@@ -144,7 +144,8 @@
 		assertThat(this.table.unwritten(10, 0)).hasSize(2);
 	}
 
-	// A gateway that saw a crash may not reach the store: whoever heard of it writes it.
+	// The gateway that observed a crash may be unable to reach the store: the gateways
+	// that received its report must write the row.
 	@Test
 	void shouldWriteWhatAnotherSawWhenItDoesNotComeFromTheStore() {
 		Evidence evidence = new Evidence(new Crash(GUILTY, server(1)), State.CONFIRMED, 0);
@@ -169,7 +170,8 @@
 
 	// -- bounds
 
-	// Thousands of requests lose one server each; those with the most crashes stay known.
+	// With thousands of requests that have one crash each, the requests with the most
+	// crashes must stay in the table.
 	@Test
 	void shouldForgetTheLeastSuspiciousFirst() {
 		crash(GUILTY, 3);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/RequestDigestTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/RequestDigestTests.java
@@ -22,8 +22,8 @@
 		assertThat(pieces.end()).isEqualTo(whole);
 	}
 
-	// Another caller's request is another one, and so is one whose fields only read the
-	// same when they are put one behind the other.
+	// Requests differ if their callers differ, or if only the concatenation of their
+	// fields is equal.
 	@ParameterizedTest
 	@CsvSource({ "tunis, POST, a.example, /quotes/7, body", "sfax, PUT, a.example, /quotes/7, body",
 			"sfax, POST, b.example, /quotes/7, body", "sfax, POST, a.example, /quotes/7?x, body",
