--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/LatencyReference.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/LatencyReference.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * How long calls of a route take at the old version, as this process sees it, to tell
- * which calls are slow.
+ * Classifies calls as slow by comparison with the latency of the baseline version on the
+ * same route, as observed by this process.
  */
 public final class LatencyReference {
 
-	/** A call is slow that takes so many times the usual. */
+	/** The ratio to the baseline latency above which a call is slow. */
 	private static final double SLOW_FACTOR = 2.5;
 
-	/** Calls of a route before any is called slow. */
+	/** The minimum number of baseline calls of a route before a call can be slow. */
 	private static final int LEAST_CALLS = 5;
 
-	/** The weight of the newest call. */
+	/** The minimum weight of the latest call in the moving average. */
 	private static final double NEWEST = 0.1;
 
 	private final Map<String, Usual> routes = new HashMap<>();
@@ -24,7 +24,7 @@
 	}
 
 	/**
-	 * A reference that knows no calls.
+	 * Creates a reference without any calls.
 	 * @return the reference
 	 */
 	public static LatencyReference empty() {
@@ -32,11 +32,13 @@
 	}
 
 	/**
-	 * Takes a call.
-	 * @param route its route
-	 * @param isFresh whether the new version had it
-	 * @param ratio how long it took, against what was expected where something was
-	 * @return whether it was slow
+	 * Records a call and returns whether it was slow. Only calls of the baseline version
+	 * change the reference.
+	 * @param route the route of the call
+	 * @param isFresh whether the candidate version served it
+	 * @param ratio the duration of the call, divided by the expected duration if there is
+	 * one
+	 * @return true if the call was slow
 	 */
 	public boolean isSlow(String route, boolean isFresh, double ratio) {
 		Usual usual = this.routes.computeIfAbsent(route, (_) -> new Usual());
@@ -48,7 +50,7 @@
 		return slow;
 	}
 
-	/** The mean of the logarithms of the old version's times. */
+	/** The moving average of the logarithms of the baseline version's durations. */
 	private static final class Usual {
 
 		private int calls;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Phase.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Phase.java
@@ -1,32 +1,34 @@
 package org.rosemaryfront.rollout;
 
-/** How far a roll-out is. A later phase never goes back to an earlier one. */
+/** The phases of a roll-out. A roll-out never returns to an earlier phase. */
 public enum Phase {
 
-	/** The new version gets a small part of the calls, to be judged. */
+	/** The candidate version gets a small share of the calls, for its evaluation. */
 	TRIAL,
 
-	/** New calls go to the new version; the old one ends those that it has. */
+	/**
+	 * New calls go to the candidate; the baseline version completes its running calls.
+	 */
 	MOVING,
 
-	/** The new version has the service. */
+	/** The candidate version serves all calls. */
 	SUCCEEDED,
 
-	/** The new version gets no calls. */
+	/** The candidate version gets no calls. */
 	ROLLED_BACK;
 
 	/**
-	 * Whether the roll-out is decided.
-	 * @return true for the last phases
+	 * Returns whether the roll-out is complete.
+	 * @return true if no other phase can follow
 	 */
 	public boolean isFinal() {
 		return this == SUCCEEDED || this == ROLLED_BACK;
 	}
 
 	/**
-	 * Whether a roll-out in this phase can get to another one.
+	 * Returns whether a roll-out in this phase can change to another one.
 	 * @param next the other phase
-	 * @return false for the same phase, an earlier one, and behind a last one
+	 * @return false for the same or an earlier phase, and if this phase is final
 	 */
 	public boolean leadsTo(Phase next) {
 		return !isFinal() && next.ordinal() > ordinal();
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Rollout.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Rollout.java
@@ -15,21 +15,21 @@
 import org.rosemaryfront.rollout.RolloutJudge.Verdict;
 
 /**
- * One order to move a service to another version, as one process sees it.
+ * The state of a roll-out in one process.
  *
  * <p>
- * Each process sends its own share of its own calls to the new version, so that all
- * together send no more than that share, whoever is cut off, killed or started. The
- * holder of the duties says how far the roll-out is; without word of it for a while, and
- * once its own view of the calls speaks against the new version, a process sends nothing
- * more there.
+ * Each process sends at most the allowed share of its own calls to the candidate version.
+ * The share of all calls therefore stays within the limit when processes are partitioned,
+ * killed or started. The gateway that holds the duty lease announces the phase. A process
+ * sends no calls to the candidate if it has received no announcement for some time, or
+ * once its own verdict on the candidate is negative.
  */
 public final class Rollout {
 
-	/** What of the allowed share is used: the rest is for the spread of chance. */
+	/** The part of the allowed share that is used; the rest absorbs random variation. */
 	private static final double SHARE_CAUTION = 0.8;
 
-	/** For how long the holder's word counts, in nanoseconds. */
+	/** The time after which an announcement of the phase expires, in nanoseconds. */
 	private static final long WORD_NANOS = TimeUnit.SECONDS.toNanos(2);
 
 	private final RolloutOrder order;
@@ -40,12 +40,12 @@
 
 	private final Map<String, Tally> own = new HashMap<>();
 
-	/** What each process told last, by route. */
+	/** The latest tallies, by process and route. */
 	private final Map<String, Map<String, Tally>> told = new HashMap<>();
 
 	private Phase phase = Phase.TRIAL;
 
-	/** When the holder of the duties last said how far it is. */
+	/** When the phase was last announced. */
 	private OptionalLong wordNanos = OptionalLong.empty();
 
 	private Rollout(RolloutOrder order, double share, RolloutJudge judge) {
@@ -55,10 +55,11 @@
 	}
 
 	/**
-	 * An order that was just seen.
+	 * Creates the roll-out for a new order, before any announcement of its phase.
 	 * @param order the order
-	 * @param exposureShare what part of the calls a bad version may get
-	 * @return the roll-out, of which the holder said nothing yet
+	 * @param exposureShare the maximum share of the calls that a failing candidate
+	 * version may get
+	 * @return the roll-out
 	 */
 	public static Rollout of(RolloutOrder order, double exposureShare) {
 		return of(order, exposureShare, SequentialJudge::of);
@@ -71,10 +72,11 @@
 	// -- changes
 
 	/**
-	 * The holder of the duties says how far the roll-out is.
-	 * @param next the phase
-	 * @param nowNanos the time
-	 * @return whether it is another one than before
+	 * Applies an announcement of the phase by the gateway that holds the duty lease. An
+	 * earlier phase is ignored.
+	 * @param next the announced phase
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return whether the phase changed
 	 */
 	public boolean said(Phase next, long nowNanos) {
 		if (next == this.phase || this.phase.leadsTo(next)) {
@@ -86,20 +88,21 @@
 	}
 
 	/**
-	 * A call of this process ended, or its first token came.
-	 * @param route its route
-	 * @param fresh whether the new version had it
-	 * @param bad whether it failed or was slow
+	 * Counts a call of this process that has ended or received its first token.
+	 * @param route the route of the call
+	 * @param fresh whether the candidate version served the call
+	 * @param bad whether the call failed or was slow
 	 */
 	public void ended(String route, boolean fresh, boolean bad) {
 		this.own.merge(route, Tally.NONE.with(fresh, bad), (before, _) -> before.with(fresh, bad));
 	}
 
 	/**
-	 * Takes what a process has counted since it saw the order, this one included.
+	 * Applies the calls that a process has counted since it received the order; also used
+	 * for this process's own calls.
 	 * @param process the start of the process
-	 * @param totals its counts by route
-	 * @param nowNanos the time
+	 * @param totals the tallies by route
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void counted(String process, Map<String, Tally> totals, long nowNanos) {
 		Map<String, Tally> before = this.told.getOrDefault(process, Map.of());
@@ -111,12 +114,12 @@
 	// -- queries
 
 	/**
-	 * Which versions a call may go to.
+	 * Returns the rules by which a server is chosen for a call.
 	 * @param servers all servers of the service
-	 * @param again whether the call was sent before
+	 * @param again whether the call is a retry
 	 * @param draw a random number from 0 to 1
-	 * @param nowNanos the time
-	 * @return the rules in the order in which they are tried
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the rules, in the order in which they are tried
 	 */
 	public List<Versions> versions(Collection<BackendServer> servers, boolean again, double draw, long nowNanos) {
 		List<BackendServer> fresh = servers.stream().filter(this::isFresh).toList();
@@ -138,8 +141,8 @@
 		return said && verdict() != Verdict.BAD;
 	}
 
-	// As many of the servers as their part of the calls is, so that each has the load
-	// that it will have: what fails under load only, fails there too.
+	// Uses only the candidate servers' share that equals the share of the calls, so that
+	// each one runs at its later load and faults that need this load show up.
 	private Set<String> trialServers(List<BackendServer> fresh) {
 		long count = Math.max(1, Math.round(fresh.size() * this.share));
 		return fresh.stream()
@@ -151,25 +154,26 @@
 	}
 
 	/**
-	 * Whether a server is of the new version.
+	 * Returns whether a server runs the candidate version.
 	 * @param server the server
-	 * @return true when it is
+	 * @return true if it runs the candidate version
 	 */
 	public boolean isFresh(BackendServer server) {
 		return server.version().equals(this.order.to());
 	}
 
 	/**
-	 * Whether a server has a part in what the service can serve now.
+	 * Returns whether a server counts towards the current capacity of the service.
 	 * @param server the server
-	 * @return false for one of the version that has not got the service
+	 * @return true for servers of the candidate version once the calls move to it, and
+	 * for servers of other versions before that or after a rollback
 	 */
 	public boolean counts(BackendServer server) {
 		return isFresh(server) == (this.phase == Phase.SUCCEEDED || this.phase == Phase.MOVING);
 	}
 
 	/**
-	 * What calls say of the new version.
+	 * Returns the verdict on the candidate version.
 	 * @return the verdict
 	 */
 	public Verdict verdict() {
@@ -177,15 +181,15 @@
 	}
 
 	/**
-	 * The calls of this process, by route.
-	 * @return the counts
+	 * Returns the calls that this process has counted.
+	 * @return the tallies by route
 	 */
 	public Map<String, Tally> own() {
 		return Map.copyOf(this.own);
 	}
 
 	/**
-	 * The order.
+	 * Returns the order of this roll-out.
 	 * @return the order
 	 */
 	public RolloutOrder order() {
@@ -193,7 +197,7 @@
 	}
 
 	/**
-	 * How far the roll-out is, as far as this process knows.
+	 * Returns the latest phase that was announced to this process.
 	 * @return the phase
 	 */
 	public Phase phase() {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutJudge.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutJudge.java
@@ -1,32 +1,32 @@
 package org.rosemaryfront.rollout;
 
-/** Tells from calls of both versions whether the new one is worse. */
+/** Decides from the calls of both versions whether the candidate version is worse. */
 public interface RolloutJudge {
 
 	/**
-	 * Takes calls that ended since the last time.
-	 * @param route their route
-	 * @param calls what came of them
-	 * @param nowNanos the time
+	 * Adds calls that have been counted since the previous invocation.
+	 * @param route the route of the calls
+	 * @param calls the numbers of calls
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void observe(String route, Tally calls, long nowNanos);
 
 	/**
-	 * What is known by now.
-	 * @return the verdict; a version that was found bad stays so
+	 * Returns the verdict on the calls observed so far.
+	 * @return the verdict; {@link Verdict#BAD} is final
 	 */
 	Verdict verdict();
 
-	/** What calls say of a new version. */
+	/** The result of the comparison of both versions. */
 	enum Verdict {
 
-		/** Too little is known. */
+		/** The calls observed so far do not allow a decision. */
 		OPEN,
 
-		/** It is no worse than the old one, as far as the calls up to now say. */
+		/** The candidate is not worse than the baseline, judging by the calls so far. */
 		GOOD,
 
-		/** It fails more calls, or is slow for more of them. */
+		/** A larger share of the candidate's calls fail or are slow. */
 		BAD
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutOrder.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutOrder.java
@@ -6,10 +6,11 @@
  * An operator's order to move the calls of a service to another version of its servers.
  *
  * @param service the service
- * @param to the version that its calls are moved to
- * @param durationMillis the time from the order until the roll-out is to be decided, in
+ * @param to the candidate version, to which the calls are moved
+ * @param durationMillis the time from the order until the roll-out must be complete, in
  * milliseconds
- * @param number grows with each order, so that a late one is not taken for the newest
+ * @param number the sequence number, which increases with each order, so that a delayed
+ * order cannot replace a newer one
  */
 public record RolloutOrder(String service, String to, long durationMillis, long number) {
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutPlan.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutPlan.java
@@ -5,33 +5,43 @@
 import org.rosemaryfront.rollout.RolloutJudge.Verdict;
 
 /**
- * Decides how far a roll-out goes, for the holder of the duties.
+ * Decides when a roll-out changes to another phase. Used by the gateway that holds the
+ * duty lease.
  */
 public final class RolloutPlan {
 
-	/** How long before the end of its time calls begin to move, in milliseconds. */
+	/**
+	 * The maximum time before the end of the roll-out at which calls start to move, in
+	 * milliseconds.
+	 */
 	private static final long MOVE_MILLIS = 4_000;
 
-	/** The part of its time that the move takes at most. */
+	/** Calls start to move in the last third of the roll-out at the earliest. */
 	private static final int MOVE_PARTS = 3;
 
-	/** How long before the end it is decided at the latest, in milliseconds. */
+	/**
+	 * The time before the end at which the roll-out is completed at the latest, in
+	 * milliseconds.
+	 */
 	private static final long DECIDE_MILLIS = 800;
 
-	/** The least part of the old servers' number with which the new version can serve. */
+	/**
+	 * The minimum ratio of candidate to baseline servers at which the candidate version
+	 * can serve all calls.
+	 */
 	private static final double LEAST_SERVERS = 0.6;
 
 	private RolloutPlan() {
 	}
 
 	/**
-	 * The next phase.
+	 * Returns the phase to which a roll-out changes next.
 	 * @param order the order
-	 * @param phase the phase now
-	 * @param verdict what calls say of the new version
+	 * @param phase the current phase
+	 * @param verdict the verdict on the candidate version
 	 * @param sinceOrderMillis the time since the order, in milliseconds
 	 * @param servers the servers of the service
-	 * @return the phase to go to, empty to stay
+	 * @return the next phase, empty if the phase does not change
 	 */
 	public static Optional<Phase> next(RolloutOrder order, Phase phase, Verdict verdict, long sinceOrderMillis,
 			Servers servers) {
@@ -56,8 +66,8 @@
 		return (due && verdict == Verdict.GOOD && servers.canServe()) ? Optional.of(Phase.MOVING) : Optional.empty();
 	}
 
-	// The old servers stop at once when it has succeeded: what they still run would be
-	// cut.
+	// Baseline servers stop immediately once the roll-out has succeeded, which would
+	// abort the calls that they still run.
 	private static Optional<Phase> fromMoving(long leftMillis, Servers servers) {
 		if (servers.fresh() == 0) {
 			return Optional.of(Phase.ROLLED_BACK);
@@ -67,11 +77,11 @@
 	}
 
 	/**
-	 * The servers of a service that do not leave.
+	 * The numbers of a service's servers that are not leaving, and of their calls.
 	 *
-	 * @param fresh those of the new version
-	 * @param old those of other versions
-	 * @param oldCalls the calls that run at servers of other versions
+	 * @param fresh the number of servers of the candidate version
+	 * @param old the number of servers of other versions
+	 * @param oldCalls the number of calls that run on servers of other versions
 	 */
 	public record Servers(int fresh, int old, int oldCalls) {
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutTable.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The newest order of each service. */
+/** The latest roll-out of each service. */
 public final class RolloutTable {
 
 	private final Map<String, Rollout> rollouts = new HashMap<>();
@@ -17,8 +17,9 @@
 	}
 
 	/**
-	 * A table without orders.
-	 * @param exposureShare what part of a service's calls a bad version may get
+	 * Creates an empty table.
+	 * @param exposureShare the maximum share of a service's calls that a failing
+	 * candidate version may get
 	 * @return the table
 	 */
 	public static RolloutTable empty(double exposureShare) {
@@ -26,9 +27,11 @@
 	}
 
 	/**
-	 * Takes an order. One that comes again while it is carried out changes nothing.
+	 * Adds an order, which replaces an older one of the service. Ignored are orders whose
+	 * number is not higher, and orders for the version to which the service is already
+	 * being moved.
 	 * @param order the order
-	 * @return whether it is new
+	 * @return whether the order was added
 	 */
 	public boolean ordered(RolloutOrder order) {
 		Rollout known = this.rollouts.get(order.service());
@@ -46,26 +49,26 @@
 	}
 
 	/**
-	 * Takes the withdrawal of an order: none is left for its service.
+	 * Removes the roll-out of a service whose order was withdrawn.
 	 * @param service the service
-	 * @return the roll-out that was under way, empty when there was none
+	 * @return the removed roll-out, empty if there was none
 	 */
 	public Optional<Rollout> withdrawn(String service) {
 		return Optional.ofNullable(this.rollouts.remove(service));
 	}
 
 	/**
-	 * The roll-out of a service.
+	 * Returns the roll-out of a service.
 	 * @param service the service
-	 * @return the newest, decided or not
+	 * @return the latest roll-out, also if it is complete, empty if there is none
 	 */
 	public Optional<Rollout> find(String service) {
 		return Optional.ofNullable(this.rollouts.get(service));
 	}
 
 	/**
-	 * All roll-outs.
-	 * @return the newest of each service
+	 * Returns the roll-outs of all services.
+	 * @return the latest roll-out of each service
 	 */
 	public Collection<Rollout> all() {
 		return this.rollouts.values();
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/SequentialJudge.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/SequentialJudge.java
@@ -5,35 +5,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Weighs each call of the new version by how much likelier it is of a bad version than of
- * one like the old one. A cumulative sum that starts anew at zero finds a version that
- * turns bad late as soon as one that is bad from the start. Routes are weighed one by one
- * and all together.
+ * Compares both versions with sequential likelihood-ratio tests. Each call of the
+ * candidate version adds the log-likelihood ratio of a worse version to one that equals
+ * the baseline. The cumulative sum (CUSUM) is reset when it falls below zero, so that a
+ * version that becomes worse later is detected as soon as one that is worse from the
+ * start. Each route is tested on its own, and all routes together.
  */
 public final class SequentialJudge implements RolloutJudge {
 
-	/** How many more calls of a bad version are bad, as a share, at least. */
+	/**
+	 * The minimum increase in the share of failed or slow calls that the tests are to
+	 * detect.
+	 */
 	private static final double WORSE = 0.2;
 
-	/** The sum, in nats, at which a version is bad. */
+	/** The cumulative sum, in nats, at which the candidate is worse. */
 	private static final double BAD_NATS = 12;
 
-	/** The sum, in nats, from which on a version is not good. */
+	/** The cumulative sum, in nats, from which on the candidate cannot be accepted. */
 	private static final double DOUBT_NATS = 4;
 
-	/** The sum of all calls, in nats, below which a version is good. */
+	/**
+	 * The sum without resets, in nats, at or below which the candidate can be accepted.
+	 */
 	private static final double GOOD_NATS = -4;
 
-	/** Calls of the new version before it can be good. */
+	/** The minimum number of candidate calls before the candidate can be accepted. */
 	private static final long LEAST_CALLS = 30;
 
-	/** Calls of a route from which on the route alone must not speak against it. */
+	/**
+	 * The number of candidate calls of a route from which on the route's own sums must
+	 * not indicate a worse version.
+	 */
 	private static final long LEAST_ROUTE_CALLS = 8;
 
-	/** How much of the old version's calls still counts a second later. */
+	/** The factor by which the weight of the baseline calls decays per second. */
 	private static final double KEPT_A_SECOND = 0.75;
 
-	/** What is believed of the old version before its calls are known. */
+	/**
+	 * The prior for the baseline: 10 calls, 1 of them failed or slow, so that the share
+	 * is defined before any call has been observed.
+	 */
 	private static final double PRIOR_CALLS = 10;
 
 	private static final double PRIOR_BAD = 1;
@@ -52,8 +64,8 @@
 	}
 
 	/**
-	 * A judge that knows no calls.
-	 * @return the judge
+	 * Creates an instance without any observed calls.
+	 * @return the instance
 	 */
 	public static SequentialJudge of() {
 		return new SequentialJudge();
@@ -66,7 +78,7 @@
 		this.all.old(calls.old(), nowNanos);
 		double share = weighing.oldBadShare();
 		weighing.fresh(calls.fresh(), share);
-		// By the route's share: the new version may get another mix of routes.
+		// The route's share is used since the versions may get different mixes of routes.
 		this.all.fresh(calls.fresh(), share);
 		this.bad |= weighing.sum >= BAD_NATS || this.all.sum >= BAD_NATS;
 	}
@@ -84,7 +96,7 @@
 		return good ? Verdict.GOOD : Verdict.OPEN;
 	}
 
-	/** The calls of one route, or of all. */
+	/** The test statistics of one route, or of all routes together. */
 	private static final class Weighing {
 
 		private double oldCalls;
@@ -95,10 +107,10 @@
 
 		private long calls;
 
-		/** The sum since it last was zero. */
+		/** The cumulative sum, reset when it falls below zero. */
 		private double sum;
 
-		/** The sum of all calls. */
+		/** The sum over all calls, without resets. */
 		private double nats;
 
 		private void old(Tally.Counts counts, long nowNanos) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Tally.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Tally.java
@@ -1,44 +1,44 @@
 package org.rosemaryfront.rollout;
 
 /**
- * What came of the calls of one route since a process saw the order.
+ * The calls of one route that a process has counted since it received the order.
  *
- * @param fresh those of the new version
- * @param old those of the other versions
+ * @param fresh the calls of the candidate version
+ * @param old the calls of other versions
  */
 public record Tally(Counts fresh, Counts old) {
 
-	/** No calls. */
+	/** A tally without any calls. */
 	public static final Tally NONE = new Tally(Counts.NONE, Counts.NONE);
 
 	/**
-	 * With one call more.
-	 * @param isFresh whether the new version had it
-	 * @param bad whether it failed or was slow
-	 * @return the new counts
+	 * Returns the tally with one more call.
+	 * @param isFresh whether the candidate version served the call
+	 * @param bad whether the call failed or was slow
+	 * @return the new tally
 	 */
 	public Tally with(boolean isFresh, boolean bad) {
 		return isFresh ? new Tally(this.fresh.with(bad), this.old) : new Tally(this.fresh, this.old.with(bad));
 	}
 
 	/**
-	 * What came since earlier counts of the same process.
-	 * @param earlier the earlier counts
-	 * @return the calls between them
+	 * Returns the calls that were added since an earlier tally of the same process.
+	 * @param earlier the earlier tally
+	 * @return the difference
 	 */
 	public Tally since(Tally earlier) {
 		return new Tally(this.fresh.since(earlier.fresh), this.old.since(earlier.old));
 	}
 
 	/**
-	 * Calls and how many of them were bad.
+	 * The number of calls, and how many of them failed or were slow.
 	 *
-	 * @param calls all calls
-	 * @param bad those that failed or were slow
+	 * @param calls the number of all calls
+	 * @param bad the number of calls that failed or were slow
 	 */
 	public record Counts(long calls, long bad) {
 
-		/** No calls. */
+		/** Counts without any calls. */
 		public static final Counts NONE = new Counts(0, 0);
 
 		private Counts with(boolean oneBad) {
@@ -50,8 +50,8 @@
 		}
 
 		/**
-		 * Those that were not bad.
-		 * @return the count
+		 * Returns the number of calls that neither failed nor were slow.
+		 * @return the number of calls
 		 */
 		public long good() {
 			return Math.max(0, this.calls - this.bad);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Versions.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Versions.java
@@ -4,11 +4,11 @@
 
 import org.rosemaryfront.dispatch.BackendServer;
 
-/** Which versions of a service's servers a call may go to. */
+/** A rule that restricts a call to servers of some versions of a service. */
 public sealed interface Versions {
 
 	/**
-	 * All versions: no roll-out is under way.
+	 * Returns a rule that allows all versions.
 	 * @return the rule
 	 */
 	static Versions any() {
@@ -16,7 +16,7 @@
 	}
 
 	/**
-	 * One version only.
+	 * Returns a rule that allows one version.
 	 * @param version the version
 	 * @return the rule
 	 */
@@ -25,8 +25,8 @@
 	}
 
 	/**
-	 * All versions but one.
-	 * @param version the version that gets no calls
+	 * Returns a rule that allows all versions except one.
+	 * @param version the excluded version
 	 * @return the rule
 	 */
 	static Versions without(String version) {
@@ -34,7 +34,8 @@
 	}
 
 	/**
-	 * Some servers of a version that is on trial.
+	 * Returns a rule that allows only given servers of a candidate version in the trial
+	 * phase.
 	 * @param servers the ids of the servers
 	 * @return the rule
 	 */
@@ -43,9 +44,9 @@
 	}
 
 	/**
-	 * Whether a server may get the call.
+	 * Returns whether the call may be sent to a server.
 	 * @param server the server
-	 * @return true when it may
+	 * @return true if the server is allowed
 	 */
 	default boolean allows(BackendServer server) {
 		return switch (this) {
@@ -56,12 +57,12 @@
 		};
 	}
 
-	/** All versions. */
+	/** Allows all versions. */
 	record Any() implements Versions {
 	}
 
 	/**
-	 * One version only.
+	 * Allows one version.
 	 *
 	 * @param version the version
 	 */
@@ -69,15 +70,15 @@
 	}
 
 	/**
-	 * All versions but one.
+	 * Allows all versions except one.
 	 *
-	 * @param version the version that gets no calls
+	 * @param version the excluded version
 	 */
 	record Without(String version) implements Versions {
 	}
 
 	/**
-	 * Some servers of a version that is on trial.
+	 * Allows only given servers of a candidate version in the trial phase.
 	 *
 	 * @param servers the ids of the servers
 	 */
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/package-info.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Roll-outs: the calls of a service are moved to another version of its backend servers,
- * a small part of them first, and moved back when that version turns out to be bad.
+ * Roll-outs, which move the calls of a service from the baseline version of its backend
+ * servers to a candidate version: a small share of the calls first, and back if the
+ * candidate proves worse.
  */
 package org.rosemaryfront.rollout;
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutFleet.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutFleet.java
@@ -12,8 +12,9 @@
 import org.rosemaryfront.dispatch.BackendServer;
 
 /**
- * Gateways before servers of two versions, on virtual time: each sends its calls where
- * its own roll-out allows, tells the others what came of them, and one of them decides.
+ * Simulates, on virtual time, gateways that send calls to servers of two versions. Each
+ * gateway chooses the version by its own roll-out state and reports its tallies to the
+ * others; one of them decides on the phase.
  */
 final class RolloutFleet {
 
@@ -47,7 +48,7 @@
 
 	private int holder;
 
-	/** Nobody holds the duties before this time. */
+	/** The time before which no gateway holds the duty lease. */
 	private long holderFromMillis;
 
 	private long nowMillis;
@@ -56,7 +57,7 @@
 
 	private int starts;
 
-	// -- what came of it
+	// -- results
 
 	long calls;
 
@@ -64,7 +65,10 @@
 
 	long freshBad;
 
-	/** Calls of the new version sent later than the bound behind its fiftieth bad one. */
+	/**
+	 * Calls sent to the candidate more than 5 s after its fiftieth call that failed or
+	 * was slow.
+	 */
 	long tooLate;
 
 	private long fiftiethMillis = Long.MAX_VALUE;
@@ -96,16 +100,16 @@
 		return this.phase;
 	}
 
-	/** The part of all calls that the new version got, less what is allowed beside it. */
+	/** The candidate's share of all calls, without a number of calls that is allowed. */
 	double exposure(long slack) {
 		return (this.fresh - slack) / (double) Math.max(1, this.calls);
 	}
 
 	/**
-	 * Plays the order's time.
-	 * @param killHolderMillis when the holder of the duties is killed, never when
+	 * Runs the simulation for the duration of the order.
+	 * @param killHolderMillis when the holder of the duty lease is killed, never if
 	 * negative
-	 * @param killAllMillis when all gateways are killed, never when negative
+	 * @param killAllMillis when all gateways are killed, never if negative
 	 */
 	void play(long killHolderMillis, long killAllMillis) {
 		while (this.nowMillis < this.order.durationMillis()) {
@@ -199,7 +203,7 @@
 		return TimeUnit.MILLISECONDS.toNanos(this.nowMillis);
 	}
 
-	/** How often the new version fails calls or is slow. */
+	/** The share of the candidate's calls that fail or are slow. */
 	interface Badness {
 
 		Badness NONE = (_, _) -> USUAL_BAD;
@@ -220,7 +224,7 @@
 
 	}
 
-	/** A gateway with what it believes of the roll-out. */
+	/** A gateway with its state of the roll-out. */
 	private final class Gateway {
 
 		private final String name = "g" + ++RolloutFleet.this.starts;
@@ -231,15 +235,15 @@
 	}
 
 	/**
-	 * Plays many fleets.
+	 * The results of several simulations.
 	 *
-	 * @param good those that ended with the new version in service
-	 * @param back those that ended without
-	 * @param worstExposure the largest part of the calls that the new version got,
-	 * without the calls that are allowed beside it
-	 * @param meanExposure its mean
-	 * @param tooLate calls of the new version later than allowed
-	 * @param decidedMillis the mean time to the decision
+	 * @param good the number of simulations that ended with the candidate in service
+	 * @param back the number of simulations that ended otherwise
+	 * @param worstExposure the largest share of the calls that the candidate got, without
+	 * the calls that are always allowed
+	 * @param meanExposure the mean of this share
+	 * @param tooLate the number of calls sent to the candidate later than allowed
+	 * @param decidedMillis the mean time until the roll-out was complete
 	 */
 	record Summary(int good, int back, double worstExposure, double meanExposure, long tooLate, long decidedMillis) {
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutFleetTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutFleetTests.java
@@ -14,7 +14,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Roll-outs of good and bad versions by many gateways that decide on what they hear. */
+/** Simulated roll-outs of healthy and failing candidates with many gateways. */
 class RolloutFleetTests {
 
 	private static final double SHARE = 0.1;
@@ -55,7 +55,8 @@
 				Arguments.arguments("one route", Badness.onRoute(0.4)));
 	}
 
-	// A bad version in service for everybody, or before more callers than it may have.
+	// Guards against a failing candidate that gets all calls, or more than its allowed
+	// share before the rollback.
 	@ParameterizedTest(name = "{0}")
 	@MethodSource("bad")
 	void shouldTakeBadVersionBackBeforeManyCallersMeetIt(String name, Badness badness) {
@@ -65,8 +66,8 @@
 		assertThat(summary.tooLate()).isZero();
 	}
 
-	// With the holder of the duties or all processes killed, what was known of the calls
-	// is gone with them.
+	// When the holder of the duty lease or all gateways are killed, the calls that they
+	// have counted are lost.
 	@ParameterizedTest(name = "{0}")
 	@MethodSource("bad")
 	void shouldKeepBadVersionFromServiceOverKills(String name, Badness badness) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutTests.java
@@ -42,9 +42,8 @@
 
 	// -- where calls may go
 
-	// A gateway that is cut off from the holder of the duties does not learn that a
-	// version
-	// was found bad.
+	// A gateway that is partitioned from the holder of the duty lease does not learn that
+	// the candidate was rolled back.
 	@Test
 	void shouldSendNothingToNewVersionWithoutFreshWordOfHolder() {
 		assertThat(uses(FRESH, 0, 0)).isFalse();
@@ -76,7 +75,8 @@
 		assertThat(this.rollout.versions(List.of(OLD), false, 1, 0).getFirst().allows(OLD)).isTrue();
 	}
 
-	// The part of the new servers that has calls on trial has the load of all of them.
+	// The candidate servers that get calls in the trial phase run at the load that all
+	// candidate servers will have later.
 	@Test
 	void shouldBringFewNewServersToFullLoadOnTrial() {
 		this.rollout.said(Phase.TRIAL, 0);
@@ -95,7 +95,8 @@
 		assertThat(this.rollout.counts(FRESH)).isEqualTo(fresh);
 	}
 
-	// A holder that was paused tells of an earlier phase.
+	// After a process pause, the former holder of the duty lease announces an earlier
+	// phase.
 	@Test
 	void shouldNeverGoBackToEarlierPhase() {
 		this.rollout.said(Phase.ROLLED_BACK, 0);
@@ -104,7 +105,7 @@
 		assertThat(this.rollout.phase()).isEqualTo(Phase.ROLLED_BACK);
 	}
 
-	// -- what calls say
+	// -- verdict
 
 	@Test
 	void shouldStopByItselfWhenCallsSpeakAgainstNewVersion() {
@@ -114,7 +115,8 @@
 		assertThat(uses(FRESH, 0, 0)).isFalse();
 	}
 
-	// Taken once more with each report, the same calls would add up to a verdict.
+	// If each report added its totals once more, the same calls would add up to a
+	// verdict.
 	@Test
 	void shouldCountCallsOfProcessOnce() {
 		Map<String, Tally> told = Map.of("quotes", new Tally(new Counts(3, 2), new Counts(100, 5)));
@@ -154,7 +156,7 @@
 		assertThat(table.find("llm").orElseThrow().phase()).isEqualTo(Phase.TRIAL);
 	}
 
-	// -- the plan
+	// -- phases
 
 	@ParameterizedTest
 	@CsvSource({ "TRIAL, OPEN, 1000, 20, 20, 9, ", "TRIAL, GOOD, 1000, 20, 20, 9, ",
