--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseCommand.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseCommand.java
@@ -1,25 +1,25 @@
 package org.rosemaryfront.lease;
 
 /**
- * Something that must be asked of the table service for the lease.
+ * A request to the table service that the state machine of a lease issues.
  */
 public sealed interface LeaseCommand {
 
 	/**
-	 * Read the row.
+	 * Reads the row.
 	 *
-	 * @param number names the read in its answer
+	 * @param number identifies the read in its response
 	 */
 	record Read(long number) implements LeaseCommand {
 	}
 
 	/**
-	 * Write the row.
+	 * Writes the row.
 	 *
-	 * @param row what to write
-	 * @param version the version that the row must have, 0 when it must not exist
-	 * @param takeOver whether the row gets a new holder, so that the row of the fencing
-	 * number is written with it
+	 * @param row the new content of the row
+	 * @param version the version that the row must have, 0 if it must not exist
+	 * @param takeOver whether the lease gets a new holder, in which case the row with the
+	 * fencing number is written too
 	 */
 	record Write(LeaseRow row, long version, boolean takeOver) implements LeaseCommand {
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseEvent.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseEvent.java
@@ -3,7 +3,8 @@
 import java.util.Optional;
 
 /**
- * An answer of the table service that the lease must know.
+ * The outcome of a request to the table service, as input for the state machine of a
+ * lease.
  */
 public sealed interface LeaseEvent {
 
@@ -11,8 +12,8 @@
 	 * The row was read.
 	 *
 	 * @param number the number of the read
-	 * @param row the row, empty when there is none
-	 * @param version the version of the row, 0 when there is none
+	 * @param row the row, empty if it does not exist
+	 * @param version the version of the row, 0 if it does not exist
 	 */
 	record RowRead(long number, Optional<LeaseRow> row, long version) implements LeaseEvent {
 	}
@@ -29,14 +30,13 @@
 	 * A write took effect.
 	 *
 	 * @param token the token of the row written
-	 * @param version the version of the row now
+	 * @param version the version of the row after the write
 	 */
 	record WriteCommitted(String token, long version) implements LeaseEvent {
 	}
 
 	/**
-	 * A write certainly had no effect: another write came first, or the service refused
-	 * it.
+	 * A write had no effect: another write preceded it, or the service rejected it.
 	 *
 	 * @param token the token of the row
 	 */
@@ -44,7 +44,7 @@
 	}
 
 	/**
-	 * Whether a write took effect is unknown.
+	 * It is unknown whether a write took effect.
 	 *
 	 * @param token the token of the row
 	 */
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseMachine.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseMachine.java
@@ -12,15 +12,16 @@
 import java.util.SplittableRandom;
 
 /**
- * The lease under which one controller at a time gives orders, as a state machine without
- * input and output. Times are on this process's monotonic clock, in nanoseconds.
+ * The state machine of a lease under which one process at a time may send orders. It does
+ * no I/O itself: {@link #tick} returns the requests to send, {@link #accept} takes their
+ * outcomes. Times are on this process's monotonic clock, in nanoseconds.
  *
  * <p>
- * Two rules keep two holders from acting at a time without comparing clocks. A holder
- * counts its term from before it asked for the write and stops a margin before its end. A
- * successor waits a full term after it saw the row change for the last time, which cannot
- * be before the holder asked; then it writes on the condition that the row is still the
- * one it saw.
+ * Two rules prevent two holders at the same time without comparing clocks. A holder
+ * counts its term from before it sent the write, and stops a margin before the end of the
+ * term. A successor waits for a full term after it last saw the row change, which cannot
+ * be before the holder sent the write; it then writes on condition that the row is
+ * unchanged.
  *
  * <pre>
  * LeaseMachine lease = LeaseMachine.of("vm-1", terms, seed);
@@ -33,12 +34,13 @@
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
 	/**
-	 * What each process that waits for the lease adds to the time between two reads of
-	 * one of them, in nanoseconds: together they read at most 40 times a second.
+	 * The time that each process adds to the read interval of all processes that do not
+	 * hold the lease, in nanoseconds: together they read about 40 times per second at
+	 * most.
 	 */
 	private static final long READ_NANOS_PER_PROCESS = 25 * NANOS_PER_MILLI;
 
-	/** For how long the word of a holder counts. */
+	/** The time after which an announcement of the holder expires. */
 	private static final long CLAIM_NANOS = 1_000 * NANOS_PER_MILLI;
 
 	private final String self;
@@ -49,7 +51,9 @@
 
 	private final String tokenPrefix;
 
-	/** Writes whose outcome is unknown, by token, with the time before each was asked. */
+	/**
+	 * Writes whose outcome is unknown, by token, each with the time before its sending.
+	 */
 	private final Map<String, Pending> pending = new HashMap<>();
 
 	private final Set<String> ownTokens = new HashSet<>();
@@ -72,7 +76,10 @@
 
 	private boolean releasing;
 
-	/** Whether the clock was read; a monotonic clock may start anywhere, also below 0. */
+	/**
+	 * Whether the times have been initialised from the clock; a monotonic clock may start
+	 * at any value, including negative ones.
+	 */
 	private boolean started;
 
 	private long readNumber;
@@ -93,7 +100,7 @@
 
 	private int processes;
 
-	/** Until when another process is taken to hold the lease, by its own word. */
+	/** When the latest announcement of another holder expires. */
 	private OptionalLong claimedUntilNanos = OptionalLong.empty();
 
 	private LeaseMachine(String self, LeaseTerms terms, long seed) {
@@ -106,12 +113,12 @@
 	// -- factories
 
 	/**
-	 * A process that does not hold the lease yet.
+	 * Creates the state machine of a process that does not hold the lease yet.
 	 * @param self the VM of the process
-	 * @param terms the times
-	 * @param seed the seed of its jitter; it also tells the tokens of two processes on
-	 * the same VM apart, so that it must differ from start to start
-	 * @return the lease as the process sees it
+	 * @param terms the durations of the lease
+	 * @param seed the seed for the jitter; it is also part of the write tokens, to
+	 * distinguish processes on the same VM, and must therefore differ between starts
+	 * @return the state machine
 	 */
 	public static LeaseMachine of(String self, LeaseTerms terms, long seed) {
 		Objects.requireNonNull(self, "self is null");
@@ -122,43 +129,43 @@
 	// -- queries
 
 	/**
-	 * The fencing number of the lease held now or last.
-	 * @return 0 when this process never held it
+	 * Returns the fencing number under which this process holds or last held the lease.
+	 * @return the fencing number, 0 if this process never held the lease
 	 */
 	public long fence() {
 		return this.heldFence;
 	}
 
 	/**
-	 * The VM that holds the lease as far as this process knows.
-	 * @return the holder, empty for none
+	 * Returns the VM that holds the lease according to the last known row.
+	 * @return the holder, empty if there is none
 	 */
 	public String holder() {
 		return this.row.map(LeaseRow::holder).orElse("");
 	}
 
 	/**
-	 * Whether an order may go out at this very moment. A process that was paused past the
-	 * end of its term reads false here, since its monotonic clock went on.
-	 * @param nowNanos the time
-	 * @return true while this process holds the lease
+	 * Returns whether an order may be sent now. After a process pause beyond the end of
+	 * the term the result is false, since the monotonic clock has advanced.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return true if this process holds the lease and is not releasing it
 	 */
 	public boolean mayOrder(long nowNanos) {
 		return this.holding && !this.releasing && nowNanos - this.validUntilNanos < 0;
 	}
 
 	/**
-	 * How long orders may still go out.
-	 * @param nowNanos the time
-	 * @return 0 when they may not, in nanoseconds
+	 * Returns how long orders may still be sent.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the time in nanoseconds, 0 if no order may be sent
 	 */
 	public long remainingNanos(long nowNanos) {
 		return mayOrder(nowNanos) ? this.validUntilNanos - nowNanos : 0;
 	}
 
 	/**
-	 * Whether the lease was given back and the row shows it.
-	 * @return true when a successor need not wait
+	 * Returns whether the lease was released, or was lost during the release.
+	 * @return true if this process no longer makes a successor wait
 	 */
 	public boolean isReleased() {
 		return this.releasing && !this.holding;
@@ -167,9 +174,9 @@
 	// -- changes
 
 	/**
-	 * Takes an answer of the table service.
-	 * @param event the answer
-	 * @param nowNanos the time
+	 * Applies the outcome of a request to the table service.
+	 * @param event the outcome
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void accept(LeaseEvent event, long nowNanos) {
 		switch (event) {
@@ -184,7 +191,7 @@
 				Pending write = this.pending.get(committed.token());
 				if (write != null && committed.version() > this.version) {
 					see(Optional.of(write.row()), committed.version(), nowNanos);
-					// A read under way may show the row before this write.
+					// A read in flight may return the row from before this write.
 					this.readInFlight = false;
 				}
 				writeEnded(committed.token(), nowNanos);
@@ -202,18 +209,19 @@
 	}
 
 	/**
-	 * Sets how many processes read the row, so that they do not read more often together
-	 * the more they are.
-	 * @param count the controllers known to be alive
+	 * Sets the number of processes that read the row, so that their total read rate is
+	 * limited.
+	 * @param count the number of processes known to be alive
 	 */
 	public void processes(int count) {
 		this.processes = count;
 	}
 
 	/**
-	 * Another process says that it holds the lease. While it does, the row need not be
-	 * read, and nobody takes over.
-	 * @param nowNanos the time
+	 * Records an announcement of another process that it holds the lease. Until the
+	 * announcement expires, this process does not try to acquire the lease; reading the
+	 * row is postponed.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void heldElsewhere(long nowNanos) {
 		if (!this.holding) {
@@ -223,9 +231,9 @@
 	}
 
 	/**
-	 * Gives the lease back early, so that a successor takes over at once. No order may go
-	 * out from now on.
-	 * @param nowNanos the time
+	 * Releases the lease before the end of its term, so that a successor can acquire it
+	 * immediately. No order may be sent from now on.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void release(long nowNanos) {
 		this.releasing = true;
@@ -233,8 +241,9 @@
 	}
 
 	/**
-	 * Stops holding because a backend server showed a higher fencing number.
-	 * @param fence the number seen
+	 * Records a fencing number that a backend server reported. If it is higher than that
+	 * of this process, the lease is lost.
+	 * @param fence the fencing number
 	 */
 	public void fenceSeen(long fence) {
 		this.highestFence = Math.max(this.highestFence, fence);
@@ -244,9 +253,9 @@
 	}
 
 	/**
-	 * Lets time pass.
-	 * @param nowNanos the time
-	 * @return what to ask of the table service
+	 * Advances the state machine to the current time.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the requests to send to the table service
 	 */
 	public List<LeaseCommand> tick(long nowNanos) {
 		List<LeaseCommand> commands = new ArrayList<>();
@@ -288,7 +297,8 @@
 	}
 
 	private void rowRead(LeaseEvent.RowRead read, long nowNanos) {
-		// A read that was given up may answer after a later one with an older row.
+		// The response to a read that timed out may arrive after that to a later read,
+		// with an older row.
 		if (read.number() != this.readNumber || !this.readInFlight) {
 			return;
 		}
@@ -311,7 +321,7 @@
 		else if (this.holding && !seen.map((shown) -> this.ownTokens.contains(shown.token())).orElse(false)) {
 			this.holding = false;
 		}
-		// A write whose condition names an older version can never take effect any more.
+		// Writes that are conditional on another version can no longer take effect.
 		this.pending.values().removeIf((write) -> write.version() != seenVersion);
 	}
 
@@ -320,8 +330,9 @@
 			this.holding = false;
 			return;
 		}
-		// The term counts from before the write was asked: its answer may have come late,
-		// or only by a read, while a successor's wait may have begun with the write.
+		// The term counts from before the write was sent: its response may have been
+		// late, or lost and replaced by a read, while a successor's wait may have begun
+		// when the write took effect.
 		this.validUntilNanos = own.askedNanos() + this.terms.termNanos() - this.terms.marginNanos();
 		this.holding = true;
 		this.heldFence = own.row().fence();
@@ -353,13 +364,14 @@
 			return true;
 		}
 		LeaseRow held = this.row.get();
-		// The row is this process's own expired lease: nobody else acted under it.
+		// The row is this process's own expired lease: no other process has held it
+		// since.
 		if (this.ownTokens.contains(held.token())) {
 			return true;
 		}
-		// The holder cannot have asked after this process saw the row, so that a full
-		// term from there outlasts it; the holder's own term counts, not this process's
-		// setting.
+		// The holder sent its write before this process saw the row, so a full term from
+		// that time ends after the holder's. The term in the row applies, not the setting
+		// of this process.
 		return nowNanos - this.seenNanos >= held.termMillis() * NANOS_PER_MILLI;
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseRow.java
@@ -3,12 +3,14 @@
 import java.util.Objects;
 
 /**
- * The lease as it stands in the table service.
+ * The row of a lease in the table service.
  *
- * @param holder the VM that holds it, empty when it was given back
- * @param fence the fencing number, which grows at every take-over
- * @param termMillis the time that the holder counts from before it asked, in milliseconds
- * @param token names the write, so that its writer recognises it after a lost answer
+ * @param holder the VM that holds the lease, empty if the lease was released
+ * @param fence the fencing number, which increases with every change of the holder
+ * @param termMillis the duration of the lease, which the holder counts from before it
+ * sent the write, in milliseconds
+ * @param token identifies the write, so that its writer recognises it after the response
+ * was lost
  */
 public record LeaseRow(String holder, long fence, long termMillis, String token) {
 
@@ -18,8 +20,8 @@
 	}
 
 	/**
-	 * Whether the last holder gave the lease back.
-	 * @return true when it may be taken over at once
+	 * Returns whether the last holder released the lease.
+	 * @return true if the lease may be acquired immediately
 	 */
 	public boolean isReleased() {
 		return this.holder.isEmpty();
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseTerms.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseTerms.java
@@ -3,15 +3,17 @@
 import java.time.Duration;
 
 /**
- * The times of a lease, in nanoseconds.
+ * The durations that govern a lease, in nanoseconds.
  *
- * @param termNanos how long a written lease holds
- * @param marginNanos how long before the end of the term its holder stops; covers clocks
- * that run at different rates and the way of an order from the check to the wire
- * @param renewNanos the time between two renewals
- * @param readNanos the time between two reads of a process that does not hold it
- * @param retryNanos the time before a failed read or write is tried again
- * @param requestNanos the time after which an unanswered read or write counts as unknown
+ * @param termNanos how long the lease is valid after it was written
+ * @param marginNanos how long before the end of the term its holder stops acting; covers
+ * clocks that run at different rates and the delay of an order between the check of the
+ * lease and its sending
+ * @param renewNanos the interval between renewals
+ * @param readNanos the interval between reads of a process that does not hold the lease
+ * @param retryNanos the delay before a failed read or write is retried
+ * @param requestNanos the time after which a read or write without a response is treated
+ * as failed, a write with unknown outcome
  */
 public record LeaseTerms(long termNanos, long marginNanos, long renewNanos, long readNanos, long retryNanos,
 		long requestNanos) {
@@ -22,15 +24,15 @@
 
 	public LeaseTerms {
 		if (marginNanos < 0 || marginNanos >= termNanos) {
-			throw new IllegalArgumentException("the margin must be shorter than the term");
+			throw new IllegalArgumentException("the margin must not be negative and must be shorter than the term");
 		}
 	}
 
 	/**
-	 * The times that follow from a term and its margin.
-	 * @param term how long a written lease holds
-	 * @param margin how long before its end the holder stops
-	 * @return the times
+	 * Derives all durations from a term and its margin.
+	 * @param term how long the lease is valid after it was written
+	 * @param margin how long before the end of the term its holder stops acting
+	 * @return the durations
 	 */
 	public static LeaseTerms of(Duration term, Duration margin) {
 		long nanos = term.toNanos();
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/lease/LeaseMachineTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/lease/LeaseMachineTests.java
@@ -18,7 +18,7 @@
 
 	private final LeaseMachine lease = LeaseMachine.of("vm-1", TERMS, 1);
 
-	// -- taking over
+	// -- acquisition
 
 	@Test
 	void shouldTakeOverAtOnceWhenThereIsNoRow() {
@@ -30,9 +30,9 @@
 		assertThat(this.lease.fence()).isEqualTo(1);
 	}
 
-	// Two controllers order at a time when a successor compares the row with its wall
-	// clock or counts from its own start; it must wait a full term of the holder's from
-	// the moment it saw the row change.
+	// If a successor compares the row with its wall clock, or counts from its own start,
+	// two controllers send orders at the same time. It must wait for a full term of the
+	// holder after it saw the row change.
 	@Test
 	void shouldWaitHoldersTermWhenRowIsHeld() {
 		read(0, Optional.of(new LeaseRow("vm-2", 7, 20_000, "x")), 3);
@@ -57,9 +57,8 @@
 		assertThat(writes(1)).hasSize(1);
 	}
 
-	// A hundred processes that wait for the lease each read its row again and again,
-	// while
-	// its holder could tell them.
+	// A hundred processes without the lease would each poll its row, although the holder
+	// announces itself to them.
 	@Test
 	void shouldNotReadWhileHolderSaysThatItHolds() {
 		read(0, Optional.of(new LeaseRow("vm-2", 7, 10_000, "x")), 3);
@@ -79,8 +78,8 @@
 
 	// -- holding
 
-	// A holder was paused; its streams are gone and a successor acts. Its first act after
-	// the pause must not be an order.
+	// After a process pause the holder's streams are closed and a successor is active.
+	// The former holder must not send an order when it resumes.
 	@Test
 	void shouldNotOrderWhenPausedPastTheTerm() {
 		LeaseCommand.Write write = takeOver(0);
@@ -89,8 +88,8 @@
 		assertThat(this.lease.mayOrder(9_000 * MILLI)).isFalse();
 	}
 
-	// The answer to the take-over came seconds late, and the term must count from before
-	// the question: others count from the write's effect.
+	// The response to the acquiring write is seconds late. The term must count from
+	// before the request, since other processes count from when the write took effect.
 	@Test
 	void shouldCountTermFromBeforeAskingWhenAnswerIsLate() {
 		LeaseCommand.Write write = takeOver(0);
@@ -98,8 +97,8 @@
 		assertThat(this.lease.remainingNanos(2_000 * MILLI)).isEqualTo(7_000 * MILLI);
 	}
 
-	// The answer is lost after the write took effect. The row's token tells the holder
-	// that it is its own, and the term still counts from before the question.
+	// The response is lost after the write took effect. The holder recognises its own
+	// write by the token of the row, and the term still counts from before the request.
 	@Test
 	void shouldResolveLostAnswerByItsOwnToken() {
 		LeaseCommand.Write write = takeOver(0);
@@ -133,8 +132,8 @@
 		assertThat(this.lease.mayOrder(4_000 * MILLI)).isFalse();
 	}
 
-	// A read that was given up answers late and shows the row of long ago: the process
-	// would count the row as changed, or its own lease as lost.
+	// The response to a read that timed out arrives late, with an outdated row: the
+	// process would treat the row as changed, or its own lease as lost.
 	@Test
 	void shouldIgnoreAnswerOfAnEarlierRead() {
 		read(0, Optional.of(new LeaseRow("vm-2", 7, 10_000, "x")), 3);
@@ -142,10 +141,10 @@
 		assertThat(writes(5_001 * MILLI)).isEmpty();
 	}
 
-	// On a VM that has just booted no process ever takes the lease, so that nobody buys
-	// or
-	// orders: the monotonic clock starts anywhere, and a first read planned for "time 0"
-	// lies minutes ahead of a negative clock and half a turn away from one that wraps.
+	// A monotonic clock may start at any value. A first read scheduled for time 0 is
+	// minutes ahead of a negative clock, and half the value range away from a clock that
+	// wraps around: on a VM that has just booted, no process would acquire the lease, so
+	// that no VMs would be bought and no orders sent.
 	@ParameterizedTest
 	@ValueSource(longs = { -600_000 * MILLI, -1, 0, 1, Long.MAX_VALUE - 3 * MILLI, Long.MIN_VALUE })
 	void shouldTakeHoldAndLapseWhereverTheClockStarts(long start) {
@@ -156,7 +155,7 @@
 		assertThat(writes(start + 9_000 * MILLI)).hasSize(1);
 	}
 
-	// -- giving back
+	// -- release
 
 	@Test
 	void shouldGiveBackOnceAndOrderNoMore() {
