--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/RequestDigest.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/RequestDigest.java
@@ -45,7 +45,7 @@
 	 */
 	public static RequestDigest of(byte[] bytes) {
 		if (bytes.length != BYTES) {
-			throw new IllegalArgumentException("a digest must have 16 bytes, got " + bytes.length + " bytes");
+			throw new IllegalArgumentException("expected a digest of 16 bytes, got " + bytes.length + " bytes");
 		}
 		ByteBuffer buffer = ByteBuffer.wrap(bytes);
 		return new RequestDigest(buffer.getLong(), buffer.getLong());
