--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/CrashTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/CrashTable.java
@@ -16,7 +16,7 @@
 import java.util.function.Predicate;
 
 import org.rosemaryfront.crashes.Evidence.State;
-import org.rosemaryfront.crashes.Suspect.Entry;
+import org.rosemaryfront.crashes.SuspectedRequest.Entry;
 import org.rosemaryfront.dispatch.BackendServer.Start;
 
 /**
@@ -48,37 +48,37 @@
 	 * harmless requests: they are retried and can share a server with the harmful request
 	 * a second time.
 	 */
-	public static final int HELD_AFTER = 3;
+	public static final int QUARANTINE_THRESHOLD = 3;
 
 	/**
 	 * The longest time between crashes that count as simultaneous, in milliseconds: the
 	 * servers of an availability zone fail together, whereas copies of a harmful request
 	 * spend different times in the servers' queues.
 	 */
-	private static final long MOMENT_MILLIS = 250;
+	private static final long SIMULTANEITY_WINDOW_MILLIS = 250;
 
 	/** The delay before a failed write is retried. */
-	private static final long WRITE_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
+	private static final long WRITE_RETRY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
 	/**
 	 * The maximum number of updates in one report, which keeps it well below the size of
 	 * a datagram.
 	 */
-	private static final int MOST_NEWS = 16;
+	private static final int MAX_UPDATES = 16;
 
 	/**
 	 * The maximum number of requests in the table, about 300 bytes each. Those with the
 	 * fewest crashes are evicted first.
 	 */
-	private static final int MOST_REQUESTS = 4_096;
+	private static final int MAX_REQUESTS = 4_096;
 
 	/**
 	 * The number of stored requests with a single crash at which this process stops
 	 * writing more of them; requests with more crashes are always written.
 	 */
-	private static final int MOST_SINGLE_ROWS = 1_024;
+	private static final int MAX_SINGLE_CRASH_ROWS = 1_024;
 
-	private final Map<RequestDigest, Suspect> suspects = new LinkedHashMap<>();
+	private final Map<RequestDigest, SuspectedRequest> suspectedRequests = new LinkedHashMap<>();
 
 	/** The requests that each server had when it crashed, or may have crashed. */
 	private final Map<Start, List<RequestDigest>> byServer = new HashMap<>();
@@ -92,7 +92,7 @@
 	/**
 	 * The quarantined requests, including those that may be probed; read on any thread.
 	 */
-	private final Set<RequestDigest> held = ConcurrentHashMap.newKeySet();
+	private final Set<RequestDigest> quarantined = ConcurrentHashMap.newKeySet();
 
 	// -- observations of this process
 
@@ -118,7 +118,7 @@
 	 * @return the evidence that this confirms
 	 */
 	public List<Evidence> crashed(Start server, long nowNanos) {
-		return change(entriesOf(server), State.CONFIRMED, nowNanos);
+		return changeState(entriesOf(server), State.CONFIRMED, nowNanos);
 	}
 
 	/**
@@ -133,8 +133,10 @@
 		if (!this.byServer.containsKey(server)) {
 			return List.of();
 		}
-		List<Entry> before = entriesOf(server).stream().filter((entry) -> sentNanos - entry.sinceNanos > 0).toList();
-		return change(before, State.CLEARED, nowNanos);
+		List<Entry> earlier = entriesOf(server).stream()
+			.filter((entry) -> sentNanos - entry.recordedNanos > 0)
+			.toList();
+		return changeState(earlier, State.CLEARED, nowNanos);
 	}
 
 	/**
@@ -145,20 +147,20 @@
 	 * @return the evidence that this clears
 	 */
 	public List<Evidence> cleared(RequestDigest request, long nowNanos) {
-		Suspect suspect = this.suspects.get(request);
-		return (suspect != null) ? change(suspect.entries.values(), State.CLEARED, nowNanos) : List.of();
+		SuspectedRequest suspect = this.suspectedRequests.get(request);
+		return (suspect != null) ? changeState(suspect.entries.values(), State.CLEARED, nowNanos) : List.of();
 	}
 
 	// -- updates from other processes and the store
 
 	/**
 	 * Applies evidence received from another process.
-	 * @param told the evidence
+	 * @param received the evidence
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return whether this changed the evidence
 	 */
-	public boolean heard(Evidence told, long nowNanos) {
-		return take(told, nowNanos).isPresent();
+	public boolean heard(Evidence received, long nowNanos) {
+		return merge(received, nowNanos).isPresent();
 	}
 
 	/**
@@ -168,14 +170,14 @@
 	 * @return whether this changed the evidence
 	 */
 	public boolean stored(Evidence row, long nowNanos) {
-		boolean news = take(row, nowNanos).isPresent();
+		boolean hasChanged = merge(row, nowNanos).isPresent();
 		find(row.crash()).ifPresent((entry) -> {
 			entry.hasRow = true;
 			// A row in an earlier state may result from a delayed write.
 			entry.stored = entry.evidence.state() == row.state();
 			this.unsettled.add(entry);
 		});
-		return news;
+		return hasChanged;
 	}
 
 	/**
@@ -189,32 +191,33 @@
 	/**
 	 * Records whether the single probe of a request has been granted.
 	 * @param request the request
-	 * @param given whether a process has, or had, the probe
+	 * @param granted whether a process has, or had, the probe
 	 */
-	public void trial(RequestDigest request, boolean given) {
-		if (given) {
-			this.suspects.computeIfAbsent(request, (_) -> new Suspect()).trialGiven = true;
+	public void trial(RequestDigest request, boolean granted) {
+		if (granted) {
+			this.suspectedRequests.computeIfAbsent(request, (_) -> new SuspectedRequest()).probeGranted = true;
 		}
 		else {
-			Optional.ofNullable(this.suspects.get(request)).ifPresent((suspect) -> suspect.trialGiven = false);
+			Optional.ofNullable(this.suspectedRequests.get(request))
+				.ifPresent((suspect) -> suspect.probeGranted = false);
 		}
 	}
 
 	// The state of evidence only advances, so updates may be reordered and duplicated.
-	private Optional<Entry> take(Evidence told, long nowNanos) {
-		Optional<Entry> known = find(told.crash());
-		if (known.isEmpty()) {
-			Entry entry = add(told, nowNanos);
-			entry.heard(told, nowNanos);
+	private Optional<Entry> merge(Evidence received, long nowNanos) {
+		Optional<Entry> existing = find(received.crash());
+		if (existing.isEmpty()) {
+			Entry entry = add(received, nowNanos);
+			entry.receive(received, nowNanos);
 			return Optional.of(entry);
 		}
-		if (known.get().evidence.state().compareTo(told.state()) >= 0) {
+		if (existing.get().evidence.state().compareTo(received.state()) >= 0) {
 			return Optional.empty();
 		}
-		known.get().heard(told, nowNanos);
-		this.unsettled.add(known.get());
-		review(told.crash().request());
-		return known;
+		existing.get().receive(received, nowNanos);
+		this.unsettled.add(existing.get());
+		updateQuarantine(received.crash().request());
+		return existing;
 	}
 
 	// -- updates for the store and other processes
@@ -222,31 +225,36 @@
 	/**
 	 * Returns the evidence to be written to the store, that of requests with the most
 	 * crashes first.
-	 * @param most the maximum number of rows
+	 * @param limit the maximum number of rows
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the rows; the caller reports each outcome with {@link #written} or
 	 * {@link #notWritten}
 	 */
-	public List<Evidence> unwritten(int most, long nowNanos) {
-		List<Entry> due = this.unsettled.stream().filter((entry) -> entry.isDue(isSingle(entry), nowNanos)).toList();
+	public List<Evidence> unwritten(int limit, long nowNanos) {
+		List<Entry> due = this.unsettled.stream()
+			.filter((entry) -> entry.isWriteDue(isOnlyCrash(entry), nowNanos))
+			.toList();
 		if (due.isEmpty()) {
 			return List.of();
 		}
-		boolean isFull = this.suspects.values().stream().filter(Suspect::isSingleRow).count() >= MOST_SINGLE_ROWS;
+		boolean isFull = this.suspectedRequests.values()
+			.stream()
+			.filter(SuspectedRequest::hasSingleStoredCrash)
+			.count() >= MAX_SINGLE_CRASH_ROWS;
 		return due.stream()
-			.filter((entry) -> !isFull || !isSingle(entry))
-			.sorted(Comparator.comparingInt((Entry entry) -> -suspect(entry).entries.size()))
-			.limit(most)
+			.filter((entry) -> !isFull || !isOnlyCrash(entry))
+			.sorted(Comparator.comparingInt((Entry entry) -> -suspectedRequest(entry).entries.size()))
+			.limit(limit)
 			.map((entry) -> entry.evidence)
 			.toList();
 	}
 
-	private boolean isSingle(Entry entry) {
-		return suspect(entry).entries.size() == 1;
+	private boolean isOnlyCrash(Entry entry) {
+		return suspectedRequest(entry).entries.size() == 1;
 	}
 
-	private Suspect suspect(Entry entry) {
-		return this.suspects.get(entry.request());
+	private SuspectedRequest suspectedRequest(Entry entry) {
+		return this.suspectedRequests.get(entry.request());
 	}
 
 	/**
@@ -266,7 +274,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void notWritten(Evidence row, long nowNanos) {
-		find(row.crash()).ifPresent((entry) -> entry.writeFrom(nowNanos + WRITE_AGAIN_NANOS));
+		find(row.crash()).ifPresent((entry) -> entry.scheduleWrite(nowNanos + WRITE_RETRY_INTERVAL_NANOS));
 	}
 
 	/**
@@ -276,12 +284,12 @@
 	 * @return the updates
 	 */
 	public List<Evidence> news(long nowNanos) {
-		return this.suspects.values()
+		return this.suspectedRequests.values()
 			.stream()
-			.sorted(Comparator.comparingInt((Suspect suspect) -> -suspect.entries.size()))
+			.sorted(Comparator.comparingInt((SuspectedRequest suspect) -> -suspect.entries.size()))
 			.flatMap((suspect) -> suspect.entries.values().stream())
-			.filter((entry) -> entry.isNews(nowNanos))
-			.limit(MOST_NEWS)
+			.filter((entry) -> entry.isReportDue(nowNanos))
+			.limit(MAX_UPDATES)
 			.map((entry) -> entry.evidence)
 			.toList();
 	}
@@ -296,12 +304,12 @@
 	 */
 	public List<RequestDigest> expire(long nowNanos) {
 		this.unsettled.removeIf(Entry::isSettled);
-		List<Crash> over = this.unsettled.stream()
-			.filter((entry) -> entry.isOver(nowNanos))
+		List<Crash> expired = this.unsettled.stream()
+			.filter((entry) -> entry.isExpired(nowNanos))
 			.map((entry) -> entry.evidence.crash())
 			.toList();
-		over.forEach(this::remove);
-		return over.stream().map(Crash::request).toList();
+		expired.forEach(this::remove);
+		return expired.stream().map(Crash::request).toList();
 	}
 
 	// -- queries
@@ -313,7 +321,7 @@
 	 * @return true if the request must not be sent, except as a probe
 	 */
 	public boolean isHeld(RequestDigest request) {
-		return !this.held.isEmpty() && this.held.contains(request);
+		return !this.quarantined.isEmpty() && this.quarantined.contains(request);
 	}
 
 	/**
@@ -322,17 +330,17 @@
 	 * @return the decision
 	 */
 	public Judgement judge(RequestDigest request) {
-		Suspect suspect = this.suspects.get(request);
+		SuspectedRequest suspect = this.suspectedRequests.get(request);
 		if (suspect == null) {
 			return Judgement.Free.UNSUSPECTED;
 		}
-		List<Evidence> against = suspect.against();
-		List<Start> servers = against.stream().map((one) -> one.crash().server()).toList();
-		if (against.size() < HELD_AFTER) {
+		List<Evidence> uncleared = suspect.unclearedEvidence();
+		List<Start> servers = uncleared.stream().map((counted) -> counted.crash().server()).toList();
+		if (uncleared.size() < QUARANTINE_THRESHOLD) {
 			return new Judgement.Free(servers);
 		}
-		boolean mayBeTried = !suspect.trialGiven && isOneMoment(against);
-		return mayBeTried ? new Judgement.OnTrial(servers) : new Judgement.Held(servers);
+		boolean mayProbe = !suspect.probeGranted && areSimultaneous(uncleared);
+		return mayProbe ? new Judgement.OnTrial(servers) : new Judgement.Held(servers);
 	}
 
 	/**
@@ -350,7 +358,7 @@
 	 */
 	public Map<RequestDigest, List<Evidence>> all() {
 		Map<RequestDigest, List<Evidence>> all = new LinkedHashMap<>();
-		this.suspects.forEach((request, suspect) -> all.put(request,
+		this.suspectedRequests.forEach((request, suspect) -> all.put(request,
 				suspect.entries.values().stream().map((entry) -> entry.evidence).toList()));
 		return all;
 	}
@@ -360,7 +368,7 @@
 	 * @return the number of requests
 	 */
 	public int size() {
-		return this.suspects.size();
+		return this.suspectedRequests.size();
 	}
 
 	/**
@@ -369,17 +377,17 @@
 	 * @return the number of requests
 	 */
 	public int heldCount() {
-		return this.held.size();
+		return this.quarantined.size();
 	}
 
-	private static boolean isOneMoment(List<Evidence> inOrder) {
-		return inOrder.getLast().atMillis() - inOrder.getFirst().atMillis() <= MOMENT_MILLIS;
+	private static boolean areSimultaneous(List<Evidence> sorted) {
+		return sorted.getLast().atMillis() - sorted.getFirst().atMillis() <= SIMULTANEITY_WINDOW_MILLIS;
 	}
 
 	// -- entries
 
 	private Optional<Entry> find(Crash crash) {
-		return Optional.ofNullable(this.suspects.get(crash.request()))
+		return Optional.ofNullable(this.suspectedRequests.get(crash.request()))
 			.map((suspect) -> suspect.entries.get(crash.server()));
 	}
 
@@ -392,76 +400,77 @@
 	}
 
 	private Entry add(Evidence evidence, long nowNanos) {
-		makeRoom();
+		evictIfFull();
 		Entry entry = new Entry(evidence, nowNanos);
 		Crash crash = evidence.crash();
-		this.suspects.computeIfAbsent(crash.request(), (_) -> new Suspect()).entries.put(crash.server(), entry);
+		this.suspectedRequests.computeIfAbsent(crash.request(), (_) -> new SuspectedRequest()).entries
+			.put(crash.server(), entry);
 		this.byServer.computeIfAbsent(crash.server(), (_) -> new ArrayList<>()).add(crash.request());
 		this.unsettled.add(entry);
-		review(crash.request());
+		updateQuarantine(crash.request());
 		return entry;
 	}
 
-	private List<Evidence> change(Collection<Entry> entries, State state, long nowNanos) {
+	private List<Evidence> changeState(Collection<Entry> entries, State state, long nowNanos) {
 		List<Evidence> changed = new ArrayList<>();
 		for (Entry entry : List.copyOf(entries)) {
 			if (entry.evidence.state().compareTo(state) >= 0) {
 				continue;
 			}
-			boolean unknownElsewhere = entry.evidence.state() == State.SUSPECTED && state == State.CLEARED;
-			entry.change(state, nowNanos);
+			boolean isUnreported = entry.evidence.state() == State.SUSPECTED && state == State.CLEARED;
+			entry.changeState(state, nowNanos);
 			this.unsettled.add(entry);
 			changed.add(entry.evidence);
-			if (unknownElsewhere) {
+			if (isUnreported) {
 				remove(entry.evidence.crash());
 			}
-			review(entry.request());
+			updateQuarantine(entry.request());
 		}
 		return changed;
 	}
 
 	private void remove(Crash crash) {
-		Suspect suspect = this.suspects.get(crash.request());
-		forgetEntry(suspect.entries.remove(crash.server()));
-		if (suspect.entries.isEmpty() && !suspect.trialGiven) {
-			this.suspects.remove(crash.request());
+		SuspectedRequest suspect = this.suspectedRequests.get(crash.request());
+		removeFromIndexes(suspect.entries.remove(crash.server()));
+		if (suspect.entries.isEmpty() && !suspect.probeGranted) {
+			this.suspectedRequests.remove(crash.request());
 		}
-		review(crash.request());
+		updateQuarantine(crash.request());
 	}
 
-	private void review(RequestDigest request) {
+	private void updateQuarantine(RequestDigest request) {
 		switch (judge(request)) {
-			case Judgement.Free _ -> this.held.remove(request);
-			case Judgement.OnTrial _, Judgement.Held _ -> this.held.add(request);
+			case Judgement.Free _ -> this.quarantined.remove(request);
+			case Judgement.OnTrial _, Judgement.Held _ -> this.quarantined.add(request);
 		}
 	}
 
-	private void makeRoom() {
-		if (this.suspects.size() < MOST_REQUESTS) {
+	private void evictIfFull() {
+		if (this.suspectedRequests.size() < MAX_REQUESTS) {
 			return;
 		}
-		forgetFirst((suspect) -> suspect.against().isEmpty());
-		for (int crashes = 1; this.suspects.size() >= MOST_REQUESTS; crashes++) {
-			int most = crashes;
-			forgetFirst((suspect) -> suspect.entries.size() <= most);
+		evictFirst((suspect) -> suspect.unclearedEvidence().isEmpty());
+		for (int crashes = 1; this.suspectedRequests.size() >= MAX_REQUESTS; crashes++) {
+			int limit = crashes;
+			evictFirst((suspect) -> suspect.entries.size() <= limit);
 		}
 	}
 
-	private void forgetFirst(Predicate<Suspect> which) {
-		for (Iterator<Suspect> it = this.suspects.values().iterator(); it.hasNext();) {
-			Suspect suspect = it.next();
-			if (which.test(suspect)) {
+	private void evictFirst(Predicate<SuspectedRequest> condition) {
+		for (Iterator<SuspectedRequest> it = this.suspectedRequests.values().iterator(); it.hasNext();) {
+			SuspectedRequest suspect = it.next();
+			if (condition.test(suspect)) {
 				it.remove();
 				suspect.entries.values().forEach((entry) -> {
-					forgetEntry(entry);
-					this.held.remove(entry.request());
+					removeFromIndexes(entry);
+					this.quarantined.remove(entry.request());
 				});
 				return;
 			}
 		}
 	}
 
-	private void forgetEntry(Entry entry) {
+	private void removeFromIndexes(Entry entry) {
 		this.unsettled.remove(entry);
 		Crash crash = entry.evidence.crash();
 		List<RequestDigest> requests = this.byServer.get(crash.server());
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Evidence.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Evidence.java
@@ -15,7 +15,7 @@
 	 * @param newer the state
 	 * @return the evidence, the same instance if the state is unchanged
 	 */
-	Evidence in(State newer) {
+	Evidence withState(State newer) {
 		return (newer == this.state) ? this : new Evidence(this.crash, newer, this.atMillis);
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/RequestDigest.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/RequestDigest.java
@@ -106,8 +106,8 @@
 		 * @return the digest
 		 */
 		public RequestDigest end() {
-			ByteBuffer whole = ByteBuffer.wrap(this.hash.digest());
-			return new RequestDigest(whole.getLong(), whole.getLong());
+			ByteBuffer digestBytes = ByteBuffer.wrap(this.hash.digest());
+			return new RequestDigest(digestBytes.getLong(), digestBytes.getLong());
 		}
 
 		private static MessageDigest sha256() {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Suspect.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/SuspectedRequest.java
@@ -13,40 +13,40 @@
  * A request and the evidence of servers that crashed, or may have crashed, while they had
  * it.
  */
-final class Suspect {
+final class SuspectedRequest {
 
 	/**
 	 * The retention of a broken connection while it is unknown whether its server
 	 * crashed; a new connection is made or refused within half a second.
 	 */
-	private static final long SUSPECTED_NANOS = TimeUnit.SECONDS.toNanos(10);
+	private static final long SUSPECTED_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(10);
 
 	/**
 	 * The delay before the first crash of a request is written to the store: by then, a
 	 * request that did not cause the crash has been retried and answered, and needs no
 	 * row.
 	 */
-	private static final long FIRST_WRITE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+	private static final long FIRST_CRASH_WRITE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
 	/**
 	 * The time to wait for a crash that another process reported to appear in the store
 	 * before this process writes it: the other process may be unable to reach the store.
 	 */
-	private static final long HEARD_WRITE_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
+	private static final long RECEIVED_CRASH_WRITE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
 
 	/**
 	 * How long an update is included in the reports to the other processes: several
 	 * reports, since some are lost.
 	 */
-	private static final long NEWS_NANOS = TimeUnit.SECONDS.toNanos(2);
+	private static final long REPORT_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(2);
 
 	final Map<Start, Entry> entries = new LinkedHashMap<>();
 
 	/** Whether a process has, or had, the single probe of the request. */
-	boolean trialGiven;
+	boolean probeGranted;
 
 	// The evidence that counts against the request, oldest first.
-	List<Evidence> against() {
+	List<Evidence> unclearedEvidence() {
 		return this.entries.values()
 			.stream()
 			.map((entry) -> entry.evidence)
@@ -56,7 +56,7 @@
 	}
 
 	// Whether the request has a single crash, and the store needs no further write of it.
-	boolean isSingleRow() {
+	boolean hasSingleStoredCrash() {
 		return this.entries.size() == 1 && this.entries.values().iterator().next().stored;
 	}
 
@@ -66,7 +66,7 @@
 		Evidence evidence;
 
 		/** When this process first recorded the crash. */
-		final long sinceNanos;
+		final long recordedNanos;
 
 		/** Whether the store needs no further write for the current state. */
 		boolean stored;
@@ -75,52 +75,52 @@
 		boolean hasRow;
 
 		/** The earliest time of the next write. */
-		private long writeNanos;
+		private long nextWriteNanos;
 
 		/** The earliest time of the next write while this is the request's only crash. */
-		private long writeSingleNanos;
+		private long nextSingleWriteNanos;
 
 		/** The end of the period in which the evidence is reported. */
-		private long newsUntilNanos;
+		private long reportUntilNanos;
 
 		Entry(Evidence evidence, long nowNanos) {
 			this.evidence = evidence;
-			this.sinceNanos = nowNanos;
-			this.newsUntilNanos = nowNanos;
-			writeFrom(nowNanos);
+			this.recordedNanos = nowNanos;
+			this.reportUntilNanos = nowNanos;
+			scheduleWrite(nowNanos);
 		}
 
 		RequestDigest request() {
 			return this.evidence.crash().request();
 		}
 
-		void writeFrom(long nanos) {
-			this.writeNanos = nanos;
-			this.writeSingleNanos = nanos;
+		void scheduleWrite(long nanos) {
+			this.nextWriteNanos = nanos;
+			this.nextSingleWriteNanos = nanos;
 		}
 
-		void change(State state, long nowNanos) {
-			this.evidence = this.evidence.in(state);
-			this.newsUntilNanos = nowNanos + NEWS_NANOS;
+		void changeState(State state, long nowNanos) {
+			this.evidence = this.evidence.withState(state);
+			this.reportUntilNanos = nowNanos + REPORT_PERIOD_NANOS;
 			// Evidence that was cleared before it was written needs no row.
 			this.stored = state == State.CLEARED && !this.hasRow;
-			this.writeNanos = nowNanos;
-			this.writeSingleNanos = nowNanos + ((state == State.CONFIRMED) ? FIRST_WRITE_NANOS : 0);
+			this.nextWriteNanos = nowNanos;
+			this.nextSingleWriteNanos = nowNanos + ((state == State.CONFIRMED) ? FIRST_CRASH_WRITE_DELAY_NANOS : 0);
 		}
 
-		void heard(Evidence told, long nowNanos) {
-			this.evidence = told;
-			this.stored = told.state() == State.CLEARED && !this.hasRow;
-			writeFrom(nowNanos + HEARD_WRITE_NANOS);
+		void receive(Evidence received, long nowNanos) {
+			this.evidence = received;
+			this.stored = received.state() == State.CLEARED && !this.hasRow;
+			scheduleWrite(nowNanos + RECEIVED_CRASH_WRITE_DELAY_NANOS);
 		}
 
-		boolean isDue(boolean single, long nowNanos) {
-			boolean due = nowNanos - (single ? this.writeSingleNanos : this.writeNanos) >= 0;
+		boolean isWriteDue(boolean isOnlyCrash, long nowNanos) {
+			boolean due = nowNanos - (isOnlyCrash ? this.nextSingleWriteNanos : this.nextWriteNanos) >= 0;
 			return !this.stored && this.evidence.state() != State.SUSPECTED && due;
 		}
 
-		boolean isNews(long nowNanos) {
-			return nowNanos - this.newsUntilNanos < 0;
+		boolean isReportDue(long nowNanos) {
+			return nowNanos - this.reportUntilNanos < 0;
 		}
 
 		// Whether there is nothing left to write or to expire.
@@ -128,11 +128,11 @@
 			return this.stored && (this.evidence.state() == State.CONFIRMED || this.hasRow);
 		}
 
-		boolean isOver(long nowNanos) {
+		boolean isExpired(long nowNanos) {
 			return switch (this.evidence.state()) {
-				case SUSPECTED -> nowNanos - this.sinceNanos >= SUSPECTED_NANOS;
+				case SUSPECTED -> nowNanos - this.recordedNanos >= SUSPECTED_RETENTION_NANOS;
 				case CONFIRMED -> false;
-				case CLEARED -> !this.hasRow && nowNanos - this.newsUntilNanos >= NEWS_NANOS;
+				case CLEARED -> !this.hasRow && nowNanos - this.reportUntilNanos >= REPORT_PERIOD_NANOS;
 			};
 		}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashTableTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashTableTests.java
@@ -16,7 +16,7 @@
 
 class CrashTableTests {
 
-	private static final RequestDigest GUILTY = new RequestDigest(1, 1);
+	private static final RequestDigest HARMFUL = new RequestDigest(1, 1);
 
 	private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -26,35 +26,35 @@
 
 	@ParameterizedTest
 	@CsvSource({ "0, Free", "1, Free", "2, Free", "3, Held", "4, Held" })
-	void shouldHoldBackRequestWhenThreeServersCrashedUnderIt(int crashes, String judgement) {
-		crash(GUILTY, crashes);
-		assertThat(this.table.judge(GUILTY).getClass().getSimpleName()).isEqualTo(judgement);
-		assertThat(this.table.isHeld(GUILTY)).isEqualTo(judgement.equals("Held"));
+	void shouldQuarantineRequestWhenThreeServersCrashed(int crashes, String decision) {
+		crash(HARMFUL, crashes);
+		assertThat(this.table.judge(HARMFUL).getClass().getSimpleName()).isEqualTo(decision);
+		assertThat(this.table.isHeld(HARMFUL)).isEqualTo(decision.equals("Held"));
 	}
 
 	@Test
-	void shouldCountStartsOfOneServerApart() {
+	void shouldCountStartsOfOneServerSeparately() {
 		for (int start = 0; start < 3; start++) {
-			crash(GUILTY, new Start("s1", start), start * 1_000L);
+			crash(HARMFUL, new Start("s1", start), start * 1_000L);
 		}
-		assertThat(this.table.isHeld(GUILTY)).isTrue();
+		assertThat(this.table.isHeld(HARMFUL)).isTrue();
 	}
 
 	// Live servers also truncate responses, and connections are reset: a server that
 	// accepts a connection right after that has not crashed.
 	@Test
-	void shouldForgetBrokenConnectionsWhenServersLive() {
+	void shouldRemoveSuspectedCrashesWhenServersRespond() {
 		for (int i = 0; i < 5; i++) {
-			this.table.suspected(new Crash(GUILTY, server(i)), i * 1_000, i);
+			this.table.suspected(new Crash(HARMFUL, server(i)), i * 1_000, i);
 			this.table.answers(server(i), i + 1, i + 1);
 		}
-		assertThat(this.table.judge(GUILTY).servers()).isEmpty();
+		assertThat(this.table.judge(HARMFUL).servers()).isEmpty();
 		assertThat(this.table.size()).isZero();
 	}
 
 	@Test
-	void shouldForgetBrokenConnectionWithoutAnySign() {
-		this.table.suspected(new Crash(GUILTY, server(1)), 0, 0);
+	void shouldExpireSuspectedCrashWhenItIsNotConfirmed() {
+		this.table.suspected(new Crash(HARMFUL, server(1)), 0, 0);
 		this.table.expire(60 * SECOND);
 		assertThat(this.table.size()).isZero();
 	}
@@ -62,33 +62,33 @@
 	// -- clearing of evidence
 
 	@Test
-	void shouldReleaseRequestWhenItIsAnsweredWhole() {
-		crash(GUILTY, 2);
-		this.table.cleared(GUILTY, SECOND);
-		crash(GUILTY, new Start("later", 0), 9_000);
-		assertThat(this.table.judge(GUILTY)).isInstanceOf(Judgement.Free.class);
+	void shouldClearEvidenceWhenResponseIsComplete() {
+		crash(HARMFUL, 2);
+		this.table.cleared(HARMFUL, SECOND);
+		crash(HARMFUL, new Start("later", 0), 9_000);
+		assertThat(this.table.judge(HARMFUL)).isInstanceOf(Judgement.Free.class);
 	}
 
 	// A call that was sent before the connections broke may be completed from data that
 	// had already been received.
 	@ParameterizedTest
 	@CsvSource({ "-1, 3", "1, 2" })
-	void shouldClearCrashOnlyByAnswerToLaterCall(long sentNanos, int left) {
-		crash(GUILTY, 3);
+	void shouldClearCrashOnlyWhenLaterCallGetsResponse(long sentNanos, int remaining) {
+		crash(HARMFUL, 3);
 		this.table.answers(server(0), sentNanos, SECOND);
-		assertThat(this.table.judge(GUILTY).servers()).hasSize(left);
+		assertThat(this.table.judge(HARMFUL).servers()).hasSize(remaining);
 	}
 
 	// Updates may be reordered and duplicated: cleared evidence must stay cleared.
 	@Test
-	void shouldNotCountAgainWhatWasCleared() {
-		crash(GUILTY, 3);
-		this.table.cleared(GUILTY, SECOND);
+	void shouldKeepEvidenceClearedWhenLateUpdatesArrive() {
+		crash(HARMFUL, 3);
+		this.table.cleared(HARMFUL, SECOND);
 		for (int i = 0; i < 3; i++) {
-			this.table.heard(new Evidence(new Crash(GUILTY, server(i)), State.CONFIRMED, i * 1_000L), SECOND);
-			this.table.stored(new Evidence(new Crash(GUILTY, server(i)), State.CONFIRMED, i * 1_000L), SECOND);
+			this.table.heard(new Evidence(new Crash(HARMFUL, server(i)), State.CONFIRMED, i * 1_000L), SECOND);
+			this.table.stored(new Evidence(new Crash(HARMFUL, server(i)), State.CONFIRMED, i * 1_000L), SECOND);
 		}
-		assertThat(this.table.isHeld(GUILTY)).isFalse();
+		assertThat(this.table.isHeld(HARMFUL)).isFalse();
 		// A row in an earlier state results from a delayed write and must be rewritten.
 		assertThat(this.table.unwritten(10, SECOND)).hasSize(3)
 			.allMatch((evidence) -> evidence.state() == State.CLEARED);
@@ -97,58 +97,58 @@
 	// -- probe
 
 	@Test
-	void shouldTryRequestOnceWhenServersCrashedAtOneMoment() {
+	void shouldProbeRequestOnceWhenServersCrashedSimultaneously() {
 		for (int i = 0; i < 3; i++) {
-			crash(GUILTY, server(i), 20L * i);
+			crash(HARMFUL, server(i), 20L * i);
 		}
-		assertThat(this.table.judge(GUILTY)).isInstanceOf(Judgement.OnTrial.class);
-		assertThat(this.table.isHeld(GUILTY)).isTrue();
-		this.table.trial(GUILTY, true);
-		assertThat(this.table.judge(GUILTY)).isInstanceOf(Judgement.Held.class);
+		assertThat(this.table.judge(HARMFUL)).isInstanceOf(Judgement.OnTrial.class);
+		assertThat(this.table.isHeld(HARMFUL)).isTrue();
+		this.table.trial(HARMFUL, true);
+		assertThat(this.table.judge(HARMFUL)).isInstanceOf(Judgement.Held.class);
 	}
 
 	// -- updates for the store and other processes
 
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void shouldHoldBackByWhatOthersSaw(boolean byStore) {
+	void shouldQuarantineRequestWhenOthersObservedCrashes(boolean byStore) {
 		for (int i = 0; i < 3; i++) {
-			Evidence evidence = new Evidence(new Crash(GUILTY, server(i)), State.CONFIRMED, i * 1_000L);
-			boolean news = byStore ? this.table.stored(evidence, 0) : this.table.heard(evidence, 0);
-			assertThat(news).isTrue();
+			Evidence evidence = new Evidence(new Crash(HARMFUL, server(i)), State.CONFIRMED, i * 1_000L);
+			boolean changed = byStore ? this.table.stored(evidence, 0) : this.table.heard(evidence, 0);
+			assertThat(changed).isTrue();
 		}
-		assertThat(this.table.isHeld(GUILTY)).isTrue();
+		assertThat(this.table.isHeld(HARMFUL)).isTrue();
 	}
 
 	@Test
-	void shouldTellOthersForAWhile() {
-		crash(GUILTY, 1);
+	void shouldReportCrashForLimitedTime() {
+		crash(HARMFUL, 1);
 		assertThat(this.table.news(SECOND)).hasSize(1);
 		assertThat(this.table.news(5 * SECOND)).isEmpty();
 	}
 
 	// A harmless request is retried and answered before its only crash is written.
 	@Test
-	void shouldWriteNoRowForRequestThatIsAnsweredAtOnce() {
-		crash(GUILTY, 1);
+	void shouldWriteNoRowWhenRetrySucceedsImmediately() {
+		crash(HARMFUL, 1);
 		assertThat(this.table.unwritten(10, 0)).isEmpty();
-		this.table.cleared(GUILTY, SECOND / 10);
+		this.table.cleared(HARMFUL, SECOND / 10);
 		assertThat(this.table.unwritten(10, 10 * SECOND)).isEmpty();
 		this.table.expire(20 * SECOND);
 		assertThat(this.table.size()).isZero();
 	}
 
 	@Test
-	void shouldWriteAllCrashesAtOnceFromTheSecondOn() {
-		crash(GUILTY, 2);
+	void shouldWriteAllCrashesImmediatelyWhenThereAreTwo() {
+		crash(HARMFUL, 2);
 		assertThat(this.table.unwritten(10, 0)).hasSize(2);
 	}
 
 	// The gateway that observed a crash may be unable to reach the store: the gateways
 	// that received its report must write the row.
 	@Test
-	void shouldWriteWhatAnotherSawWhenItDoesNotComeFromTheStore() {
-		Evidence evidence = new Evidence(new Crash(GUILTY, server(1)), State.CONFIRMED, 0);
+	void shouldWriteReceivedCrashWhenStoreLacksIt() {
+		Evidence evidence = new Evidence(new Crash(HARMFUL, server(1)), State.CONFIRMED, 0);
 		this.table.heard(evidence, 0);
 		assertThat(this.table.unwritten(10, SECOND / 10)).isEmpty();
 		assertThat(this.table.unwritten(10, SECOND)).containsExactly(evidence);
@@ -160,12 +160,12 @@
 	}
 
 	@Test
-	void shouldForgetWhenRowsAreRemoved() {
+	void shouldRemoveEvidenceWhenRowsAreRemoved() {
 		for (int i = 0; i < 3; i++) {
-			this.table.stored(new Evidence(new Crash(GUILTY, server(i)), State.CONFIRMED, i * 1_000L), 0);
+			this.table.stored(new Evidence(new Crash(HARMFUL, server(i)), State.CONFIRMED, i * 1_000L), 0);
 		}
-		IntStream.range(0, 3).forEach((i) -> this.table.removed(new Crash(GUILTY, server(i))));
-		assertThat(this.table.judge(GUILTY).servers()).isEmpty();
+		IntStream.range(0, 3).forEach((i) -> this.table.removed(new Crash(HARMFUL, server(i))));
+		assertThat(this.table.judge(HARMFUL).servers()).isEmpty();
 	}
 
 	// -- bounds
@@ -173,17 +173,17 @@
 	// With thousands of requests that have one crash each, the requests with the most
 	// crashes must stay in the table.
 	@Test
-	void shouldForgetTheLeastSuspiciousFirst() {
-		crash(GUILTY, 3);
+	void shouldEvictRequestsWithFewestCrashesWhenFull() {
+		crash(HARMFUL, 3);
 		crash(new RequestDigest(2, 2), 2);
 		for (int i = 0; i < 20_000; i++) {
 			crash(new RequestDigest(3, i), new Start("other" + i, 0), i);
 		}
 		assertThat(this.table.size()).isLessThanOrEqualTo(4_096);
-		assertThat(this.table.isHeld(GUILTY)).isTrue();
+		assertThat(this.table.isHeld(HARMFUL)).isTrue();
 		assertThat(this.table.judge(new RequestDigest(2, 2)).servers()).hasSize(2);
 		assertThat(this.table.unwritten(50, SECOND)).hasSize(50)
-			.contains(new Evidence(new Crash(GUILTY, server(0)), State.CONFIRMED, 0));
+			.contains(new Evidence(new Crash(HARMFUL, server(0)), State.CONFIRMED, 0));
 		assertThat(this.table.news(SECOND)).hasSize(16);
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/RequestDigestTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/RequestDigestTests.java
@@ -13,7 +13,7 @@
 class RequestDigestTests {
 
 	@Test
-	void shouldBeTheSameHoweverTheBodyComes() {
+	void shouldBeEqualWhenBodyArrivesInPieces() {
 		RequestDigest whole = digest("sfax", "POST", "a.example", "/quotes/7?x=1", "a long history");
 		RequestDigest.Builder pieces = RequestDigest.begin("sfax", "POST", "a.example", "/quotes/7?x=1");
 		pieces.body(bytes("a long"));
@@ -29,13 +29,13 @@
 			"sfax, POST, b.example, /quotes/7, body", "sfax, POST, a.example, /quotes/7?x, body",
 			"sfax, POST, a.example, /quotes/7, bodY", "sfa, xPOST, a.example, /quotes/7, body",
 			"sfax, POST, a.example, /quotes/, 7body" })
-	void shouldDifferWhenAnyPartDiffers(String organisation, String method, String host, String target, String body) {
+	void shouldDifferWhenAnyFieldDiffers(String organisation, String method, String host, String target, String body) {
 		assertThat(digest(organisation, method, host, target, body))
 			.isNotEqualTo(digest("sfax", "POST", "a.example", "/quotes/7", "body"));
 	}
 
 	@Test
-	void shouldComeBackFromBytesAndText() {
+	void shouldRoundTripThroughBytesAndText() {
 		RequestDigest digest = digest("sfax", "GET", "a.example", "/", "");
 		assertThat(RequestDigest.of(digest.bytes())).isEqualTo(digest);
 		assertThat(RequestDigest.parse(digest.toString())).isEqualTo(digest);
@@ -43,7 +43,7 @@
 
 	@ParameterizedTest
 	@CsvSource({ "''", "00", "zz", "000000000000000000000000000000000000" })
-	void shouldRefuseWhatIsNoDigest(String text) {
+	void shouldRejectInvalidDigest(String text) {
 		assertThatThrownBy(() -> RequestDigest.parse(text)).isInstanceOf(IllegalArgumentException.class);
 	}
 
