--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/LatencyReference.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/LatencyReference.java
@@ -13,12 +13,12 @@
 	private static final double SLOW_FACTOR = 2.5;
 
 	/** The minimum number of baseline calls of a route before a call can be slow. */
-	private static final int LEAST_CALLS = 5;
+	private static final int MIN_CALLS = 5;
 
 	/** The minimum weight of the latest call in the moving average. */
-	private static final double NEWEST = 0.1;
+	private static final double MIN_SMOOTHING_FACTOR = 0.1;
 
-	private final Map<String, Usual> routes = new HashMap<>();
+	private final Map<String, RouteBaseline> routes = new HashMap<>();
 
 	private LatencyReference() {
 	}
@@ -35,31 +35,31 @@
 	 * Records a call and returns whether it was slow. Only calls of the baseline version
 	 * change the reference.
 	 * @param route the route of the call
-	 * @param isFresh whether the candidate version served it
+	 * @param isCandidate whether the candidate version served it
 	 * @param ratio the duration of the call, divided by the expected duration if there is
 	 * one
 	 * @return true if the call was slow
 	 */
-	public boolean isSlow(String route, boolean isFresh, double ratio) {
-		Usual usual = this.routes.computeIfAbsent(route, (_) -> new Usual());
-		double log = Math.log(Math.max(ratio, Double.MIN_NORMAL));
-		boolean slow = usual.calls >= LEAST_CALLS && log > usual.mean + Math.log(SLOW_FACTOR);
-		if (!isFresh) {
-			usual.add(log);
+	public boolean isSlow(String route, boolean isCandidate, double ratio) {
+		RouteBaseline baseline = this.routes.computeIfAbsent(route, (_) -> new RouteBaseline());
+		double logRatio = Math.log(Math.max(ratio, Double.MIN_NORMAL));
+		boolean slow = baseline.calls >= MIN_CALLS && logRatio > baseline.meanLog + Math.log(SLOW_FACTOR);
+		if (!isCandidate) {
+			baseline.add(logRatio);
 		}
 		return slow;
 	}
 
 	/** The moving average of the logarithms of the baseline version's durations. */
-	private static final class Usual {
+	private static final class RouteBaseline {
 
 		private int calls;
 
-		private double mean;
+		private double meanLog;
 
-		private void add(double log) {
+		private void add(double logRatio) {
 			this.calls++;
-			this.mean += Math.max(NEWEST, 1.0 / this.calls) * (log - this.mean);
+			this.meanLog += Math.max(MIN_SMOOTHING_FACTOR, 1.0 / this.calls) * (logRatio - this.meanLog);
 		}
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Rollout.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Rollout.java
@@ -12,7 +12,7 @@
 import java.util.stream.Collectors;
 
 import org.rosemaryfront.dispatch.BackendServer;
-import org.rosemaryfront.rollout.RolloutJudge.Verdict;
+import org.rosemaryfront.rollout.RolloutEvaluator.Verdict;
 
 /**
  * The state of a roll-out in one process.
@@ -27,31 +27,31 @@
 public final class Rollout {
 
 	/** The part of the allowed share that is used; the rest absorbs random variation. */
-	private static final double SHARE_CAUTION = 0.8;
+	private static final double SHARE_SAFETY_FACTOR = 0.8;
 
 	/** The time after which an announcement of the phase expires, in nanoseconds. */
-	private static final long WORD_NANOS = TimeUnit.SECONDS.toNanos(2);
+	private static final long ANNOUNCEMENT_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
 	private final RolloutOrder order;
 
-	private final double share;
+	private final double trialShare;
 
-	private final RolloutJudge judge;
+	private final RolloutEvaluator evaluator;
 
 	private final Map<String, Tally> own = new HashMap<>();
 
 	/** The latest tallies, by process and route. */
-	private final Map<String, Map<String, Tally>> told = new HashMap<>();
+	private final Map<String, Map<String, Tally>> reported = new HashMap<>();
 
 	private Phase phase = Phase.TRIAL;
 
 	/** When the phase was last announced. */
-	private OptionalLong wordNanos = OptionalLong.empty();
+	private OptionalLong announcedNanos = OptionalLong.empty();
 
-	private Rollout(RolloutOrder order, double share, RolloutJudge judge) {
+	private Rollout(RolloutOrder order, double share, RolloutEvaluator evaluator) {
 		this.order = order;
-		this.share = share * SHARE_CAUTION;
-		this.judge = judge;
+		this.trialShare = share * SHARE_SAFETY_FACTOR;
+		this.evaluator = evaluator;
 	}
 
 	/**
@@ -62,11 +62,11 @@
 	 * @return the roll-out
 	 */
 	public static Rollout of(RolloutOrder order, double exposureShare) {
-		return of(order, exposureShare, SequentialJudge::of);
+		return of(order, exposureShare, SequentialEvaluator::of);
 	}
 
-	static Rollout of(RolloutOrder order, double exposureShare, Supplier<RolloutJudge> judge) {
-		return new Rollout(order, exposureShare, judge.get());
+	static Rollout of(RolloutOrder order, double exposureShare, Supplier<RolloutEvaluator> evaluator) {
+		return new Rollout(order, exposureShare, evaluator.get());
 	}
 
 	// -- changes
@@ -80,7 +80,7 @@
 	 */
 	public boolean said(Phase next, long nowNanos) {
 		if (next == this.phase || this.phase.leadsTo(next)) {
-			this.wordNanos = OptionalLong.of(nowNanos);
+			this.announcedNanos = OptionalLong.of(nowNanos);
 		}
 		boolean changed = this.phase.leadsTo(next);
 		this.phase = changed ? next : this.phase;
@@ -90,11 +90,11 @@
 	/**
 	 * Counts a call of this process that has ended or received its first token.
 	 * @param route the route of the call
-	 * @param fresh whether the candidate version served the call
-	 * @param bad whether the call failed or was slow
+	 * @param candidate whether the candidate version served the call
+	 * @param failing whether the call failed or was slow
 	 */
-	public void ended(String route, boolean fresh, boolean bad) {
-		this.own.merge(route, Tally.NONE.with(fresh, bad), (before, _) -> before.with(fresh, bad));
+	public void ended(String route, boolean candidate, boolean failing) {
+		this.own.merge(route, Tally.NONE.plus(candidate, failing), (before, _) -> before.plus(candidate, failing));
 	}
 
 	/**
@@ -105,10 +105,10 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void counted(String process, Map<String, Tally> totals, long nowNanos) {
-		Map<String, Tally> before = this.told.getOrDefault(process, Map.of());
-		totals.forEach((route, total) -> this.judge.observe(route, total.since(before.getOrDefault(route, Tally.NONE)),
-				nowNanos));
-		this.told.put(process, Map.copyOf(totals));
+		Map<String, Tally> before = this.reported.getOrDefault(process, Map.of());
+		totals.forEach((route, total) -> this.evaluator.observe(route,
+				total.minus(before.getOrDefault(route, Tally.NONE)), nowNanos));
+		this.reported.put(process, Map.copyOf(totals));
 	}
 
 	// -- queries
@@ -116,36 +116,38 @@
 	/**
 	 * Returns the rules by which a server is chosen for a call.
 	 * @param servers all servers of the service
-	 * @param again whether the call is a retry
+	 * @param isRetry whether the call is a retry
 	 * @param draw a random number from 0 to 1
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the rules, in the order in which they are tried
 	 */
-	public List<Versions> versions(Collection<BackendServer> servers, boolean again, double draw, long nowNanos) {
-		List<BackendServer> fresh = servers.stream().filter(this::isFresh).toList();
-		if (fresh.isEmpty() || fresh.size() == servers.size()) {
+	public List<Versions> versions(Collection<BackendServer> servers, boolean isRetry, double draw, long nowNanos) {
+		List<BackendServer> candidate = servers.stream().filter(this::isFresh).toList();
+		if (candidate.isEmpty() || candidate.size() == servers.size()) {
 			return List.of(Versions.any());
 		}
-		Versions back = Versions.without(this.order.to());
+		Versions fallback = Versions.without(this.order.to());
 		return switch (this.phase) {
-			case SUCCEEDED -> List.of(Versions.only(this.order.to()), back);
-			case ROLLED_BACK -> List.of(back);
-			case MOVING -> mayUse(nowNanos) ? List.of(Versions.only(this.order.to()), back) : List.of(back);
-			case TRIAL -> (!again && draw < this.share && mayUse(nowNanos))
-					? List.of(Versions.trial(trialServers(fresh)), back) : List.of(back);
+			case SUCCEEDED -> List.of(Versions.only(this.order.to()), fallback);
+			case ROLLED_BACK -> List.of(fallback);
+			case MOVING ->
+				mayUseCandidate(nowNanos) ? List.of(Versions.only(this.order.to()), fallback) : List.of(fallback);
+			case TRIAL -> (!isRetry && draw < this.trialShare && mayUseCandidate(nowNanos))
+					? List.of(Versions.trial(trialServers(candidate)), fallback) : List.of(fallback);
 		};
 	}
 
-	private boolean mayUse(long nowNanos) {
-		boolean said = this.wordNanos.isPresent() && nowNanos - this.wordNanos.getAsLong() < WORD_NANOS;
-		return said && verdict() != Verdict.BAD;
+	private boolean mayUseCandidate(long nowNanos) {
+		boolean announced = this.announcedNanos.isPresent()
+				&& nowNanos - this.announcedNanos.getAsLong() < ANNOUNCEMENT_TIMEOUT_NANOS;
+		return announced && verdict() != Verdict.BAD;
 	}
 
 	// Uses only the candidate servers' share that equals the share of the calls, so that
 	// each one runs at its later load and faults that need this load show up.
-	private Set<String> trialServers(List<BackendServer> fresh) {
-		long count = Math.max(1, Math.round(fresh.size() * this.share));
-		return fresh.stream()
+	private Set<String> trialServers(List<BackendServer> candidate) {
+		long count = Math.max(1, Math.round(candidate.size() * this.trialShare));
+		return candidate.stream()
 			.filter((server) -> !server.leaving())
 			.map(BackendServer::id)
 			.sorted(Comparator.naturalOrder())
@@ -177,7 +179,7 @@
 	 * @return the verdict
 	 */
 	public Verdict verdict() {
-		return this.judge.verdict();
+		return this.evaluator.verdict();
 	}
 
 	/**
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutEvaluator.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutEvaluator.java
@@ -1,7 +1,7 @@
 package org.rosemaryfront.rollout;
 
 /** Decides from the calls of both versions whether the candidate version is worse. */
-public interface RolloutJudge {
+public interface RolloutEvaluator {
 
 	/**
 	 * Adds calls that have been counted since the previous invocation.
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutPlan.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutPlan.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-import org.rosemaryfront.rollout.RolloutJudge.Verdict;
+import org.rosemaryfront.rollout.RolloutEvaluator.Verdict;
 
 /**
  * Decides when a roll-out changes to another phase. Used by the gateway that holds the
@@ -14,22 +14,22 @@
 	 * The maximum time before the end of the roll-out at which calls start to move, in
 	 * milliseconds.
 	 */
-	private static final long MOVE_MILLIS = 4_000;
+	private static final long MAX_MOVE_MILLIS = 4_000;
 
 	/** Calls start to move in the last third of the roll-out at the earliest. */
-	private static final int MOVE_PARTS = 3;
+	private static final int MOVE_DIVISOR = 3;
 
 	/**
 	 * The time before the end at which the roll-out is completed at the latest, in
 	 * milliseconds.
 	 */
-	private static final long DECIDE_MILLIS = 800;
+	private static final long COMPLETION_MARGIN_MILLIS = 800;
 
 	/**
 	 * The minimum ratio of candidate to baseline servers at which the candidate version
 	 * can serve all calls.
 	 */
-	private static final double LEAST_SERVERS = 0.6;
+	private static final double MIN_SERVER_RATIO = 0.6;
 
 	private RolloutPlan() {
 	}
@@ -51,28 +51,31 @@
 		if (verdict == Verdict.BAD) {
 			return Optional.of(Phase.ROLLED_BACK);
 		}
-		long left = order.durationMillis() - sinceOrderMillis;
-		return (phase == Phase.TRIAL) ? fromTrial(order, verdict, left, servers) : fromMoving(left, servers);
+		long remainingMillis = order.durationMillis() - sinceOrderMillis;
+		return (phase == Phase.TRIAL) ? fromTrial(order, verdict, remainingMillis, servers)
+				: fromMoving(remainingMillis, servers);
 	}
 
-	private static Optional<Phase> fromTrial(RolloutOrder order, Verdict verdict, long leftMillis, Servers servers) {
-		if (servers.isMoved()) {
+	private static Optional<Phase> fromTrial(RolloutOrder order, Verdict verdict, long remainingMillis,
+			Servers servers) {
+		if (servers.hasOnlyCandidates()) {
 			return Optional.of(Phase.SUCCEEDED);
 		}
-		if (leftMillis <= DECIDE_MILLIS) {
+		if (remainingMillis <= COMPLETION_MARGIN_MILLIS) {
 			return Optional.of(Phase.ROLLED_BACK);
 		}
-		boolean due = leftMillis <= Math.min(MOVE_MILLIS, order.durationMillis() / MOVE_PARTS);
-		return (due && verdict == Verdict.GOOD && servers.canServe()) ? Optional.of(Phase.MOVING) : Optional.empty();
+		boolean due = remainingMillis <= Math.min(MAX_MOVE_MILLIS, order.durationMillis() / MOVE_DIVISOR);
+		return (due && verdict == Verdict.GOOD && servers.hasEnoughCandidates()) ? Optional.of(Phase.MOVING)
+				: Optional.empty();
 	}
 
 	// Baseline servers stop immediately once the roll-out has succeeded, which would
 	// abort the calls that they still run.
-	private static Optional<Phase> fromMoving(long leftMillis, Servers servers) {
+	private static Optional<Phase> fromMoving(long remainingMillis, Servers servers) {
 		if (servers.fresh() == 0) {
 			return Optional.of(Phase.ROLLED_BACK);
 		}
-		return (servers.oldCalls() == 0 || leftMillis <= DECIDE_MILLIS) ? Optional.of(Phase.SUCCEEDED)
+		return (servers.oldCalls() == 0 || remainingMillis <= COMPLETION_MARGIN_MILLIS) ? Optional.of(Phase.SUCCEEDED)
 				: Optional.empty();
 	}
 
@@ -85,12 +88,12 @@
 	 */
 	public record Servers(int fresh, int old, int oldCalls) {
 
-		private boolean isMoved() {
+		private boolean hasOnlyCandidates() {
 			return this.old == 0 && this.fresh > 0;
 		}
 
-		private boolean canServe() {
-			return this.fresh > 0 && this.fresh >= LEAST_SERVERS * this.old;
+		private boolean hasEnoughCandidates() {
+			return this.fresh > 0 && this.fresh >= MIN_SERVER_RATIO * this.old;
 		}
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutTable.java
@@ -34,18 +34,18 @@
 	 * @return whether the order was added
 	 */
 	public boolean ordered(RolloutOrder order) {
-		Rollout known = this.rollouts.get(order.service());
-		if (known != null && !supersedes(order, known)) {
+		Rollout current = this.rollouts.get(order.service());
+		if (current != null && !supersedes(order, current)) {
 			return false;
 		}
 		this.rollouts.put(order.service(), Rollout.of(order, this.exposureShare));
 		return true;
 	}
 
-	private static boolean supersedes(RolloutOrder order, Rollout known) {
-		boolean newer = order.number() > known.order().number();
-		boolean again = order.to().equals(known.order().to()) && !known.phase().isFinal();
-		return newer && !again;
+	private static boolean supersedes(RolloutOrder order, Rollout current) {
+		boolean newer = order.number() > current.order().number();
+		boolean isDuplicate = order.to().equals(current.order().to()) && !current.phase().isFinal();
+		return newer && !isDuplicate;
 	}
 
 	/**
@@ -53,7 +53,7 @@
 	 * @param service the service
 	 * @return the removed roll-out, empty if there was none
 	 */
-	public Optional<Rollout> withdrawn(String service) {
+	public Optional<Rollout> withdraw(String service) {
 		return Optional.ofNullable(this.rollouts.remove(service));
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/SequentialEvaluator.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/SequentialEvaluator.java
@@ -11,36 +11,36 @@
  * version that becomes worse later is detected as soon as one that is worse from the
  * start. Each route is tested on its own, and all routes together.
  */
-public final class SequentialJudge implements RolloutJudge {
+public final class SequentialEvaluator implements RolloutEvaluator {
 
 	/**
 	 * The minimum increase in the share of failed or slow calls that the tests are to
 	 * detect.
 	 */
-	private static final double WORSE = 0.2;
+	private static final double MIN_DETECTED_INCREASE = 0.2;
 
 	/** The cumulative sum, in nats, at which the candidate is worse. */
-	private static final double BAD_NATS = 12;
+	private static final double FAILING_NATS = 12;
 
 	/** The cumulative sum, in nats, from which on the candidate cannot be accepted. */
-	private static final double DOUBT_NATS = 4;
+	private static final double INCONCLUSIVE_NATS = 4;
 
 	/**
 	 * The sum without resets, in nats, at or below which the candidate can be accepted.
 	 */
-	private static final double GOOD_NATS = -4;
+	private static final double PASSING_NATS = -4;
 
 	/** The minimum number of candidate calls before the candidate can be accepted. */
-	private static final long LEAST_CALLS = 30;
+	private static final long MIN_CALLS = 30;
 
 	/**
 	 * The number of candidate calls of a route from which on the route's own sums must
 	 * not indicate a worse version.
 	 */
-	private static final long LEAST_ROUTE_CALLS = 8;
+	private static final long MIN_ROUTE_CALLS = 8;
 
 	/** The factor by which the weight of the baseline calls decays per second. */
-	private static final double KEPT_A_SECOND = 0.75;
+	private static final double DECAY_PER_SECOND = 0.75;
 
 	/**
 	 * The prior for the baseline: 10 calls, 1 of them failed or slow, so that the share
@@ -48,89 +48,91 @@
 	 */
 	private static final double PRIOR_CALLS = 10;
 
-	private static final double PRIOR_BAD = 1;
+	private static final double PRIOR_FAILING_CALLS = 1;
 
-	private static final double MOST_BAD_SHARE = 0.6;
+	private static final double MAX_BASELINE_FAILING_SHARE = 0.6;
 
 	private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
-	private final Map<String, Weighing> routes = new HashMap<>();
+	private final Map<String, LikelihoodRatioTest> routes = new HashMap<>();
 
-	private final Weighing all = new Weighing();
+	private final LikelihoodRatioTest all = new LikelihoodRatioTest();
 
-	private boolean bad;
+	private boolean failing;
 
-	private SequentialJudge() {
+	private SequentialEvaluator() {
 	}
 
 	/**
 	 * Creates an instance without any observed calls.
 	 * @return the instance
 	 */
-	public static SequentialJudge of() {
-		return new SequentialJudge();
+	public static SequentialEvaluator of() {
+		return new SequentialEvaluator();
 	}
 
 	@Override
 	public void observe(String route, Tally calls, long nowNanos) {
-		Weighing weighing = this.routes.computeIfAbsent(route, (_) -> new Weighing());
-		weighing.old(calls.old(), nowNanos);
-		this.all.old(calls.old(), nowNanos);
-		double share = weighing.oldBadShare();
-		weighing.fresh(calls.fresh(), share);
+		LikelihoodRatioTest test = this.routes.computeIfAbsent(route, (_) -> new LikelihoodRatioTest());
+		test.addBaseline(calls.old(), nowNanos);
+		this.all.addBaseline(calls.old(), nowNanos);
+		double baselineShare = test.baselineFailingShare();
+		test.addCandidate(calls.fresh(), baselineShare);
 		// The route's share is used since the versions may get different mixes of routes.
-		this.all.fresh(calls.fresh(), share);
-		this.bad |= weighing.sum >= BAD_NATS || this.all.sum >= BAD_NATS;
+		this.all.addCandidate(calls.fresh(), baselineShare);
+		this.failing |= test.cumulativeSum >= FAILING_NATS || this.all.cumulativeSum >= FAILING_NATS;
 	}
 
 	@Override
 	public Verdict verdict() {
-		if (this.bad) {
+		if (this.failing) {
 			return Verdict.BAD;
 		}
-		boolean routesGood = this.routes.values()
+		boolean routesPassing = this.routes.values()
 			.stream()
-			.allMatch((route) -> route.calls < LEAST_ROUTE_CALLS || (route.nats < 0 && route.sum < DOUBT_NATS));
-		boolean good = this.all.calls >= LEAST_CALLS && this.all.nats <= GOOD_NATS && this.all.sum < DOUBT_NATS
-				&& routesGood;
-		return good ? Verdict.GOOD : Verdict.OPEN;
+			.allMatch((route) -> route.candidateCalls < MIN_ROUTE_CALLS
+					|| (route.logLikelihoodRatio < 0 && route.cumulativeSum < INCONCLUSIVE_NATS));
+		boolean passing = this.all.candidateCalls >= MIN_CALLS && this.all.logLikelihoodRatio <= PASSING_NATS
+				&& this.all.cumulativeSum < INCONCLUSIVE_NATS && routesPassing;
+		return passing ? Verdict.GOOD : Verdict.OPEN;
 	}
 
 	/** The test statistics of one route, or of all routes together. */
-	private static final class Weighing {
+	private static final class LikelihoodRatioTest {
 
-		private double oldCalls;
+		private double baselineCalls;
 
-		private double oldBad;
+		private double baselineFailingCalls;
 
-		private long oldNanos;
+		private long decayedNanos;
 
-		private long calls;
+		private long candidateCalls;
 
 		/** The cumulative sum, reset when it falls below zero. */
-		private double sum;
+		private double cumulativeSum;
 
 		/** The sum over all calls, without resets. */
-		private double nats;
+		private double logLikelihoodRatio;
 
-		private void old(Tally.Counts counts, long nowNanos) {
-			double kept = Math.pow(KEPT_A_SECOND, Math.max(0, nowNanos - this.oldNanos) / NANOS_PER_SECOND);
-			this.oldNanos = nowNanos;
-			this.oldCalls = this.oldCalls * kept + counts.calls();
-			this.oldBad = this.oldBad * kept + Math.min(counts.calls(), counts.bad());
+		private void addBaseline(Tally.Counts counts, long nowNanos) {
+			double decay = Math.pow(DECAY_PER_SECOND, Math.max(0, nowNanos - this.decayedNanos) / NANOS_PER_SECOND);
+			this.decayedNanos = nowNanos;
+			this.baselineCalls = this.baselineCalls * decay + counts.calls();
+			this.baselineFailingCalls = this.baselineFailingCalls * decay + Math.min(counts.calls(), counts.bad());
 		}
 
-		private double oldBadShare() {
-			return Math.min(MOST_BAD_SHARE, (this.oldBad + PRIOR_BAD) / (this.oldCalls + PRIOR_CALLS));
+		private double baselineFailingShare() {
+			return Math.min(MAX_BASELINE_FAILING_SHARE,
+					(this.baselineFailingCalls + PRIOR_FAILING_CALLS) / (this.baselineCalls + PRIOR_CALLS));
 		}
 
-		private void fresh(Tally.Counts counts, double oldShare) {
-			double worse = oldShare + WORSE;
-			double step = counts.bad() * Math.log(worse / oldShare)
-					+ counts.good() * Math.log((1 - worse) / (1 - oldShare));
-			this.calls += counts.calls();
-			this.nats += step;
-			this.sum = Math.max(0, this.sum + step);
+		private void addCandidate(Tally.Counts counts, double baselineShare) {
+			double worseShare = baselineShare + MIN_DETECTED_INCREASE;
+			double step = counts.bad() * Math.log(worseShare / baselineShare)
+					+ counts.passing() * Math.log((1 - worseShare) / (1 - baselineShare));
+			this.candidateCalls += counts.calls();
+			this.logLikelihoodRatio += step;
+			this.cumulativeSum = Math.max(0, this.cumulativeSum + step);
 		}
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Tally.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Tally.java
@@ -13,12 +13,13 @@
 
 	/**
 	 * Returns the tally with one more call.
-	 * @param isFresh whether the candidate version served the call
-	 * @param bad whether the call failed or was slow
+	 * @param isCandidate whether the candidate version served the call
+	 * @param isFailing whether the call failed or was slow
 	 * @return the new tally
 	 */
-	public Tally with(boolean isFresh, boolean bad) {
-		return isFresh ? new Tally(this.fresh.with(bad), this.old) : new Tally(this.fresh, this.old.with(bad));
+	public Tally plus(boolean isCandidate, boolean isFailing) {
+		return isCandidate ? new Tally(this.fresh.plus(isFailing), this.old)
+				: new Tally(this.fresh, this.old.plus(isFailing));
 	}
 
 	/**
@@ -26,8 +27,8 @@
 	 * @param earlier the earlier tally
 	 * @return the difference
 	 */
-	public Tally since(Tally earlier) {
-		return new Tally(this.fresh.since(earlier.fresh), this.old.since(earlier.old));
+	public Tally minus(Tally earlier) {
+		return new Tally(this.fresh.minus(earlier.fresh), this.old.minus(earlier.old));
 	}
 
 	/**
@@ -41,11 +42,11 @@
 		/** Counts without any calls. */
 		public static final Counts NONE = new Counts(0, 0);
 
-		private Counts with(boolean oneBad) {
-			return new Counts(this.calls + 1, this.bad + (oneBad ? 1 : 0));
+		private Counts plus(boolean isFailing) {
+			return new Counts(this.calls + 1, this.bad + (isFailing ? 1 : 0));
 		}
 
-		private Counts since(Counts earlier) {
+		private Counts minus(Counts earlier) {
 			return new Counts(Math.max(0, this.calls - earlier.calls), Math.max(0, this.bad - earlier.bad));
 		}
 
@@ -53,7 +54,7 @@
 		 * Returns the number of calls that neither failed nor were slow.
 		 * @return the number of calls
 		 */
-		public long good() {
+		public long passing() {
 			return Math.max(0, this.calls - this.bad);
 		}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutSimulation.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutSimulation.java
@@ -16,7 +16,7 @@
  * gateway chooses the version by its own roll-out state and reports its tallies to the
  * others; one of them decides on the phase.
  */
-final class RolloutFleet {
+final class RolloutSimulation {
 
 	private static final long STEP_MILLIS = 50;
 
@@ -28,15 +28,15 @@
 
 	private static final String[] ROUTES = { "quotes", "summaries", "chats" };
 
-	private static final double USUAL_BAD = 0.06;
+	private static final double BASELINE_FAILING_SHARE = 0.06;
 
 	private final Random random;
 
-	private final Badness badness;
+	private final FailureModel failureModel;
 
 	private final RolloutOrder order;
 
-	private final Supplier<RolloutJudge> judge;
+	private final Supplier<RolloutEvaluator> evaluator;
 
 	private final double exposureShare;
 
@@ -55,34 +55,34 @@
 
 	private Phase phase = Phase.TRIAL;
 
-	private int starts;
+	private int gatewayStarts;
 
 	// -- results
 
 	long calls;
 
-	long fresh;
+	long candidateCalls;
 
-	long freshBad;
+	long failingCandidateCalls;
 
 	/**
 	 * Calls sent to the candidate more than 5 s after its fiftieth call that failed or
 	 * was slow.
 	 */
-	long tooLate;
+	long lateCandidateCalls;
 
 	private long fiftiethMillis = Long.MAX_VALUE;
 
 	Optional<Long> decidedMillis = Optional.empty();
 
-	RolloutFleet(long seed, int gateways, double callsPerSecond, RolloutOrder order, double exposureShare,
-			Badness badness, Supplier<RolloutJudge> judge) {
+	RolloutSimulation(long seed, int gateways, double callsPerSecond, RolloutOrder order, double exposureShare,
+			FailureModel failureModel, Supplier<RolloutEvaluator> evaluator) {
 		this.random = new Random(seed);
 		this.callsPerSecond = callsPerSecond;
 		this.order = order;
 		this.exposureShare = exposureShare;
-		this.badness = badness;
-		this.judge = judge;
+		this.failureModel = failureModel;
+		this.evaluator = evaluator;
 		for (int i = 0; i < gateways; i++) {
 			this.gateways.add(new Gateway());
 		}
@@ -102,7 +102,7 @@
 
 	/** The candidate's share of all calls, without a number of calls that is allowed. */
 	double exposure(long slack) {
-		return (this.fresh - slack) / (double) Math.max(1, this.calls);
+		return (this.candidateCalls - slack) / (double) Math.max(1, this.calls);
 	}
 
 	/**
@@ -111,7 +111,7 @@
 	 * negative
 	 * @param killAllMillis when all gateways are killed, never if negative
 	 */
-	void play(long killHolderMillis, long killAllMillis) {
+	void run(long killHolderMillis, long killAllMillis) {
 		while (this.nowMillis < this.order.durationMillis()) {
 			this.nowMillis += STEP_MILLIS;
 			if (this.nowMillis == killHolderMillis) {
@@ -154,45 +154,45 @@
 	}
 
 	private void call() {
-		double wanted = this.callsPerSecond * STEP_MILLIS / 1_000;
-		int count = (int) wanted + ((this.random.nextDouble() < wanted % 1) ? 1 : 0);
+		double expectedCalls = this.callsPerSecond * STEP_MILLIS / 1_000;
+		int count = (int) expectedCalls + ((this.random.nextDouble() < expectedCalls % 1) ? 1 : 0);
 		for (int i = 0; i < count; i++) {
 			Gateway gateway = this.gateways.get(this.random.nextInt(this.gateways.size()));
 			String route = ROUTES[this.random.nextInt(ROUTES.length)];
 			Versions rule = gateway.rollout.versions(this.servers, false, this.random.nextDouble(), nanos()).getFirst();
-			boolean isFresh = rule.allows(this.servers.get(1)) && !rule.allows(this.servers.get(0));
-			boolean bad = this.random
-				.nextDouble() < (isFresh ? this.badness.badShare(route, this.nowMillis) : USUAL_BAD);
-			gateway.rollout.ended(route, isFresh, bad);
-			count(isFresh, bad);
+			boolean isCandidate = rule.allows(this.servers.get(1)) && !rule.allows(this.servers.get(0));
+			boolean failing = this.random.nextDouble() < (isCandidate
+					? this.failureModel.failingShare(route, this.nowMillis) : BASELINE_FAILING_SHARE);
+			gateway.rollout.ended(route, isCandidate, failing);
+			count(isCandidate, failing);
 		}
 	}
 
-	private void count(boolean isFresh, boolean bad) {
+	private void count(boolean isCandidate, boolean failing) {
 		this.calls++;
-		if (!isFresh) {
+		if (!isCandidate) {
 			return;
 		}
-		this.fresh++;
-		this.freshBad += bad ? 1 : 0;
-		if (this.freshBad == 50 && this.fiftiethMillis == Long.MAX_VALUE) {
+		this.candidateCalls++;
+		this.failingCandidateCalls += failing ? 1 : 0;
+		if (this.failingCandidateCalls == 50 && this.fiftiethMillis == Long.MAX_VALUE) {
 			this.fiftiethMillis = this.nowMillis;
 		}
 		boolean late = this.fiftiethMillis != Long.MAX_VALUE && this.nowMillis > this.fiftiethMillis + 5_000;
-		this.tooLate += late ? 1 : 0;
+		this.lateCandidateCalls += late ? 1 : 0;
 	}
 
 	private void report() {
-		boolean held = this.nowMillis >= this.holderFromMillis;
+		boolean isHeld = this.nowMillis >= this.holderFromMillis;
 		for (Gateway from : this.gateways) {
 			Map<String, Tally> totals = from.rollout.own();
-			boolean speaks = held && from == this.gateways.get(this.holder);
+			boolean announces = isHeld && from == this.gateways.get(this.holder);
 			for (Gateway to : this.gateways) {
 				if (to != from && this.random.nextDouble() < REPORT_LOSS) {
 					continue;
 				}
 				to.rollout.counted(from.name, totals, nanos());
-				if (speaks) {
+				if (announces) {
 					to.rollout.said(this.phase, nanos());
 				}
 			}
@@ -204,22 +204,22 @@
 	}
 
 	/** The share of the candidate's calls that fail or are slow. */
-	interface Badness {
+	interface FailureModel {
 
-		Badness NONE = (_, _) -> USUAL_BAD;
+		FailureModel NONE = (_, _) -> BASELINE_FAILING_SHARE;
 
-		double badShare(String route, long millis);
+		double failingShare(String route, long millis);
 
-		static Badness of(double share) {
-			return (_, _) -> USUAL_BAD + share;
+		static FailureModel of(double share) {
+			return (_, _) -> BASELINE_FAILING_SHARE + share;
 		}
 
-		static Badness from(long fromMillis, double share) {
-			return (_, millis) -> USUAL_BAD + ((millis >= fromMillis) ? share : 0);
+		static FailureModel from(long fromMillis, double share) {
+			return (_, millis) -> BASELINE_FAILING_SHARE + ((millis >= fromMillis) ? share : 0);
 		}
 
-		static Badness onRoute(double share) {
-			return (route, _) -> USUAL_BAD + (route.equals(ROUTES[0]) ? share : 0);
+		static FailureModel onRoute(double share) {
+			return (route, _) -> BASELINE_FAILING_SHARE + (route.equals(ROUTES[0]) ? share : 0);
 		}
 
 	}
@@ -227,37 +227,42 @@
 	/** A gateway with its state of the roll-out. */
 	private final class Gateway {
 
-		private final String name = "g" + ++RolloutFleet.this.starts;
+		private final String name = "g" + ++RolloutSimulation.this.gatewayStarts;
 
-		private final Rollout rollout = Rollout.of(RolloutFleet.this.order, RolloutFleet.this.exposureShare,
-				RolloutFleet.this.judge);
+		private final Rollout rollout = Rollout.of(RolloutSimulation.this.order, RolloutSimulation.this.exposureShare,
+				RolloutSimulation.this.evaluator);
 
 	}
 
 	/**
 	 * The results of several simulations.
 	 *
-	 * @param good the number of simulations that ended with the candidate in service
-	 * @param back the number of simulations that ended otherwise
+	 * @param succeeded the number of simulations that ended with the candidate in service
+	 * @param rolledBack the number of simulations that ended otherwise
 	 * @param worstExposure the largest share of the calls that the candidate got, without
 	 * the calls that are always allowed
 	 * @param meanExposure the mean of this share
-	 * @param tooLate the number of calls sent to the candidate later than allowed
+	 * @param lateCandidateCalls the number of calls sent to the candidate later than
+	 * allowed
 	 * @param decidedMillis the mean time until the roll-out was complete
 	 */
-	record Summary(int good, int back, double worstExposure, double meanExposure, long tooLate, long decidedMillis) {
-
-		static Summary of(List<RolloutFleet> fleets, long slack) {
-			Map<Boolean, Integer> ends = new HashMap<>();
-			fleets.forEach((fleet) -> ends.merge(fleet.phase() == Phase.SUCCEEDED, 1, Integer::sum));
-			double worst = fleets.stream().mapToDouble((fleet) -> fleet.exposure(slack)).max().orElse(0);
-			double mean = fleets.stream().mapToDouble((fleet) -> fleet.exposure(slack)).average().orElse(0);
-			long late = fleets.stream().mapToLong((fleet) -> fleet.tooLate).sum();
-			double decided = fleets.stream()
-				.mapToLong((fleet) -> fleet.decidedMillis.orElse(fleet.order.durationMillis()))
+	record Summary(int succeeded, int rolledBack, double worstExposure, double meanExposure, long lateCandidateCalls,
+			long decidedMillis) {
+
+		static Summary of(List<RolloutSimulation> simulations, long slack) {
+			Map<Boolean, Integer> outcomes = new HashMap<>();
+			simulations.forEach((simulation) -> outcomes.merge(simulation.phase() == Phase.SUCCEEDED, 1, Integer::sum));
+			double worst = simulations.stream().mapToDouble((simulation) -> simulation.exposure(slack)).max().orElse(0);
+			double mean = simulations.stream()
+				.mapToDouble((simulation) -> simulation.exposure(slack))
 				.average()
 				.orElse(0);
-			return new Summary(ends.getOrDefault(true, 0), ends.getOrDefault(false, 0), worst, mean, late,
+			long late = simulations.stream().mapToLong((simulation) -> simulation.lateCandidateCalls).sum();
+			double decided = simulations.stream()
+				.mapToLong((simulation) -> simulation.decidedMillis.orElse(simulation.order.durationMillis()))
+				.average()
+				.orElse(0);
+			return new Summary(outcomes.getOrDefault(true, 0), outcomes.getOrDefault(false, 0), worst, mean, late,
 					Math.round(decided));
 		}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutSimulationTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutSimulationTests.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-import org.rosemaryfront.rollout.RolloutFleet.Badness;
-import org.rosemaryfront.rollout.RolloutFleet.Summary;
+import org.rosemaryfront.rollout.RolloutSimulation.FailureModel;
+import org.rosemaryfront.rollout.RolloutSimulation.Summary;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 /** Simulated roll-outs of healthy and failing candidates with many gateways. */
-class RolloutFleetTests {
+class RolloutSimulationTests {
 
 	private static final double SHARE = 0.1;
 
@@ -29,14 +29,15 @@
 
 	private static final int NEVER = -1;
 
-	static Summary play(int gateways, int seeds, Badness badness, long killHolderMillis, long killAllMillis,
-			Supplier<RolloutJudge> judge) {
-		List<RolloutFleet> fleets = LongStream.range(0, seeds).mapToObj((seed) -> {
-			RolloutFleet fleet = new RolloutFleet(seed, gateways, CALLS_PER_SECOND, ORDER, SHARE, badness, judge);
-			fleet.play(killHolderMillis, killAllMillis);
-			return fleet;
+	static Summary run(int gateways, int seeds, FailureModel failureModel, long killHolderMillis, long killAllMillis,
+			Supplier<RolloutEvaluator> evaluator) {
+		List<RolloutSimulation> simulations = LongStream.range(0, seeds).mapToObj((seed) -> {
+			RolloutSimulation simulation = new RolloutSimulation(seed, gateways, CALLS_PER_SECOND, ORDER, SHARE,
+					failureModel, evaluator);
+			simulation.run(killHolderMillis, killAllMillis);
+			return simulation;
 		}).toList();
-		return Summary.of(fleets, SLACK);
+		return Summary.of(simulations, SLACK);
 	}
 
 	static Stream<Arguments> sizes() {
@@ -45,36 +46,38 @@
 
 	@ParameterizedTest
 	@MethodSource("sizes")
-	void shouldMoveToGoodVersionInTime(int gateways, int seeds) {
-		assertThat(play(gateways, seeds, Badness.NONE, NEVER, NEVER, SequentialJudge::of).back()).isZero();
+	void shouldCompleteRolloutInTimeWhenCandidateIsHealthy(int gateways, int seeds) {
+		assertThat(run(gateways, seeds, FailureModel.NONE, NEVER, NEVER, SequentialEvaluator::of).rolledBack())
+			.isZero();
 	}
 
 	static Stream<Arguments> bad() {
-		return Stream.of(Arguments.arguments("always", Badness.of(0.3)), Arguments.arguments("half", Badness.of(0.5)),
-				Arguments.arguments("late", Badness.from(8_000, 0.3)),
-				Arguments.arguments("one route", Badness.onRoute(0.4)));
+		return Stream.of(Arguments.arguments("always", FailureModel.of(0.3)),
+				Arguments.arguments("half", FailureModel.of(0.5)),
+				Arguments.arguments("late", FailureModel.from(8_000, 0.3)),
+				Arguments.arguments("one route", FailureModel.onRoute(0.4)));
 	}
 
 	// Guards against a failing candidate that gets all calls, or more than its allowed
 	// share before the rollback.
 	@ParameterizedTest(name = "{0}")
 	@MethodSource("bad")
-	void shouldTakeBadVersionBackBeforeManyCallersMeetIt(String name, Badness badness) {
-		Summary summary = play(9, SEEDS, badness, NEVER, NEVER, SequentialJudge::of);
-		assertThat(summary.good()).as(name).isZero();
+	void shouldRollBackWithinExposureLimitWhenCandidateFails(String name, FailureModel failureModel) {
+		Summary summary = run(9, SEEDS, failureModel, NEVER, NEVER, SequentialEvaluator::of);
+		assertThat(summary.succeeded()).as(name).isZero();
 		assertThat(summary.worstExposure()).isLessThan(SHARE);
-		assertThat(summary.tooLate()).isZero();
+		assertThat(summary.lateCandidateCalls()).isZero();
 	}
 
 	// When the holder of the duty lease or all gateways are killed, the calls that they
 	// have counted are lost.
 	@ParameterizedTest(name = "{0}")
 	@MethodSource("bad")
-	void shouldKeepBadVersionFromServiceOverKills(String name, Badness badness) {
-		for (long at : new long[] { 1_000, 9_000, 15_500 }) {
-			Summary holder = play(9, SEEDS / 4, badness, at, NEVER, SequentialJudge::of);
-			Summary all = play(9, SEEDS / 4, badness, NEVER, at, SequentialJudge::of);
-			assertThat(holder.good() + all.good()).as(name + " killed at " + at).isZero();
+	void shouldRollBackFailingCandidateWhenGatewaysAreKilled(String name, FailureModel failureModel) {
+		for (long killMillis : new long[] { 1_000, 9_000, 15_500 }) {
+			Summary holder = run(9, SEEDS / 4, failureModel, killMillis, NEVER, SequentialEvaluator::of);
+			Summary all = run(9, SEEDS / 4, failureModel, NEVER, killMillis, SequentialEvaluator::of);
+			assertThat(holder.succeeded() + all.succeeded()).as(name + " killed at " + killMillis).isZero();
 			assertThat(Math.max(holder.worstExposure(), all.worstExposure())).isLessThan(SHARE);
 		}
 	}
