--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseMachine.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseMachine.java
@@ -38,10 +38,10 @@
 	 * hold the lease, in nanoseconds: together they read about 40 times per second at
 	 * most.
 	 */
-	private static final long READ_NANOS_PER_PROCESS = 25 * NANOS_PER_MILLI;
+	private static final long READ_INTERVAL_NANOS_PER_PROCESS = 25 * NANOS_PER_MILLI;
 
 	/** The time after which an announcement of the holder expires. */
-	private static final long CLAIM_NANOS = 1_000 * NANOS_PER_MILLI;
+	private static final long ANNOUNCEMENT_TIMEOUT_NANOS = 1_000 * NANOS_PER_MILLI;
 
 	private final String self;
 
@@ -54,7 +54,7 @@
 	/**
 	 * Writes whose outcome is unknown, by token, each with the time before its sending.
 	 */
-	private final Map<String, Pending> pending = new HashMap<>();
+	private final Map<String, PendingWrite> pendingWrites = new HashMap<>();
 
 	private final Set<String> ownTokens = new HashSet<>();
 
@@ -64,7 +64,7 @@
 
 	private boolean rowKnown;
 
-	private long seenNanos;
+	private long rowChangedNanos;
 
 	private long highestFence;
 
@@ -86,22 +86,22 @@
 
 	private boolean readInFlight;
 
-	private long readAskedNanos;
+	private long readSentNanos;
 
 	private long nextReadNanos;
 
 	private String writeInFlight = "";
 
-	private long writeAskedNanos;
+	private long writeSentNanos;
 
 	private long nextWriteNanos;
 
-	private long writes;
+	private long writeCount;
 
 	private int processes;
 
 	/** When the latest announcement of another holder expires. */
-	private OptionalLong claimedUntilNanos = OptionalLong.empty();
+	private OptionalLong announcedUntilNanos = OptionalLong.empty();
 
 	private LeaseMachine(String self, LeaseTerms terms, long seed) {
 		this.self = self;
@@ -180,29 +180,29 @@
 	 */
 	public void accept(LeaseEvent event, long nowNanos) {
 		switch (event) {
-			case LeaseEvent.RowRead read -> rowRead(read, nowNanos);
+			case LeaseEvent.RowRead read -> readCompleted(read, nowNanos);
 			case LeaseEvent.ReadFailed failed -> {
 				if (failed.number() == this.readNumber) {
 					this.readInFlight = false;
-					this.nextReadNanos = nowNanos + this.terms.retryNanos();
+					this.nextReadNanos = nowNanos + this.terms.retryIntervalNanos();
 				}
 			}
 			case LeaseEvent.WriteCommitted committed -> {
-				Pending write = this.pending.get(committed.token());
+				PendingWrite write = this.pendingWrites.get(committed.token());
 				if (write != null && committed.version() > this.version) {
-					see(Optional.of(write.row()), committed.version(), nowNanos);
+					observeRow(Optional.of(write.row()), committed.version(), nowNanos);
 					// A read in flight may return the row from before this write.
 					this.readInFlight = false;
 				}
-				writeEnded(committed.token(), nowNanos);
+				writeCompleted(committed.token(), nowNanos);
 			}
 			case LeaseEvent.WriteRejected rejected -> {
-				this.pending.remove(rejected.token());
-				writeEnded(rejected.token(), nowNanos);
+				this.pendingWrites.remove(rejected.token());
+				writeCompleted(rejected.token(), nowNanos);
 				this.nextReadNanos = nowNanos;
 			}
 			case LeaseEvent.WriteUnknown unknown -> {
-				writeEnded(unknown.token(), nowNanos);
+				writeCompleted(unknown.token(), nowNanos);
 				this.nextReadNanos = nowNanos;
 			}
 		}
@@ -225,8 +225,8 @@
 	 */
 	public void heldElsewhere(long nowNanos) {
 		if (!this.holding) {
-			this.claimedUntilNanos = OptionalLong.of(nowNanos + CLAIM_NANOS);
-			this.nextReadNanos = afterPause(nowNanos);
+			this.announcedUntilNanos = OptionalLong.of(nowNanos + ANNOUNCEMENT_TIMEOUT_NANOS);
+			this.nextReadNanos = nextReadTime(nowNanos);
 		}
 	}
 
@@ -259,11 +259,11 @@
 	 */
 	public List<LeaseCommand> tick(long nowNanos) {
 		List<LeaseCommand> commands = new ArrayList<>();
-		start(nowNanos);
+		initialiseTimes(nowNanos);
 		if (this.holding && nowNanos - this.validUntilNanos >= 0) {
 			this.holding = false;
 		}
-		dropUnanswered(nowNanos);
+		expireRequests(nowNanos);
 		if (!this.readInFlight && nowNanos - this.nextReadNanos >= 0 && !isReleased()) {
 			commands.add(read(nowNanos));
 		}
@@ -273,10 +273,10 @@
 		return commands;
 	}
 
-	private void start(long nowNanos) {
+	private void initialiseTimes(long nowNanos) {
 		if (!this.started) {
 			this.started = true;
-			this.nextReadNanos = this.claimedUntilNanos.isPresent() ? this.nextReadNanos : nowNanos;
+			this.nextReadNanos = this.announcedUntilNanos.isPresent() ? this.nextReadNanos : nowNanos;
 			this.nextWriteNanos = nowNanos;
 		}
 	}
@@ -285,60 +285,61 @@
 
 	private LeaseCommand read(long nowNanos) {
 		this.readInFlight = true;
-		this.readAskedNanos = nowNanos;
+		this.readSentNanos = nowNanos;
 		this.readNumber++;
-		this.nextReadNanos = afterPause(nowNanos);
+		this.nextReadNanos = nextReadTime(nowNanos);
 		return new LeaseCommand.Read(this.readNumber);
 	}
 
-	private long afterPause(long nowNanos) {
-		long pause = Math.max(this.terms.readNanos(), this.processes * READ_NANOS_PER_PROCESS);
-		return nowNanos + pause / 2 + this.random.nextLong(pause + 1);
+	private long nextReadTime(long nowNanos) {
+		long interval = Math.max(this.terms.readIntervalNanos(), this.processes * READ_INTERVAL_NANOS_PER_PROCESS);
+		return nowNanos + interval / 2 + this.random.nextLong(interval + 1);
 	}
 
-	private void rowRead(LeaseEvent.RowRead read, long nowNanos) {
+	private void readCompleted(LeaseEvent.RowRead read, long nowNanos) {
 		// The response to a read that timed out may arrive after that to a later read,
 		// with an older row.
 		if (read.number() != this.readNumber || !this.readInFlight) {
 			return;
 		}
 		this.readInFlight = false;
-		see(read.row(), read.version(), nowNanos);
+		observeRow(read.row(), read.version(), nowNanos);
 	}
 
-	private void see(Optional<LeaseRow> seen, long seenVersion, long nowNanos) {
-		if (!this.rowKnown || seenVersion != this.version) {
-			this.seenNanos = nowNanos;
+	private void observeRow(Optional<LeaseRow> observedRow, long observedVersion, long nowNanos) {
+		if (!this.rowKnown || observedVersion != this.version) {
+			this.rowChangedNanos = nowNanos;
 		}
 		this.rowKnown = true;
-		this.row = seen;
-		this.version = seenVersion;
-		this.highestFence = Math.max(this.highestFence, seen.map(LeaseRow::fence).orElse(0L));
-		Pending own = seen.map((shown) -> this.pending.get(shown.token())).orElse(null);
-		if (own != null) {
-			hold(own);
+		this.row = observedRow;
+		this.version = observedVersion;
+		this.highestFence = Math.max(this.highestFence, observedRow.map(LeaseRow::fence).orElse(0L));
+		PendingWrite ownWrite = observedRow.map((observed) -> this.pendingWrites.get(observed.token())).orElse(null);
+		if (ownWrite != null) {
+			applyOwnWrite(ownWrite);
 		}
-		else if (this.holding && !seen.map((shown) -> this.ownTokens.contains(shown.token())).orElse(false)) {
+		else if (this.holding
+				&& !observedRow.map((observed) -> this.ownTokens.contains(observed.token())).orElse(false)) {
 			this.holding = false;
 		}
 		// Writes that are conditional on another version can no longer take effect.
-		this.pending.values().removeIf((write) -> write.version() != seenVersion);
+		this.pendingWrites.values().removeIf((write) -> write.version() != observedVersion);
 	}
 
-	private void hold(Pending own) {
-		if (own.row().isReleased()) {
+	private void applyOwnWrite(PendingWrite ownWrite) {
+		if (ownWrite.row().isReleased()) {
 			this.holding = false;
 			return;
 		}
 		// The term counts from before the write was sent: its response may have been
 		// late, or lost and replaced by a read, while a successor's wait may have begun
 		// when the write took effect.
-		this.validUntilNanos = own.askedNanos() + this.terms.termNanos() - this.terms.marginNanos();
+		this.validUntilNanos = ownWrite.sentNanos() + this.terms.termNanos() - this.terms.marginNanos();
 		this.holding = true;
-		this.heldFence = own.row().fence();
+		this.heldFence = ownWrite.row().fence();
 		this.ownTokens.clear();
-		this.ownTokens.add(own.row().token());
-		this.nextWriteNanos = own.askedNanos() + this.terms.renewNanos();
+		this.ownTokens.add(ownWrite.row().token());
+		this.nextWriteNanos = ownWrite.sentNanos() + this.terms.renewalIntervalNanos();
 	}
 
 	// -- writes
@@ -350,61 +351,62 @@
 		if (this.holding) {
 			return Optional.of(write(this.self, this.heldFence, false, nowNanos));
 		}
-		if (mayTakeOver(nowNanos)) {
+		if (mayAcquire(nowNanos)) {
 			return Optional.of(write(this.self, this.highestFence + 1, true, nowNanos));
 		}
 		return Optional.empty();
 	}
 
-	private boolean mayTakeOver(long nowNanos) {
-		if (this.claimedUntilNanos.isPresent() && nowNanos - this.claimedUntilNanos.getAsLong() < 0) {
+	private boolean mayAcquire(long nowNanos) {
+		if (this.announcedUntilNanos.isPresent() && nowNanos - this.announcedUntilNanos.getAsLong() < 0) {
 			return false;
 		}
 		if (this.row.isEmpty() || this.row.get().isReleased()) {
 			return true;
 		}
-		LeaseRow held = this.row.get();
+		LeaseRow current = this.row.get();
 		// The row is this process's own expired lease: no other process has held it
 		// since.
-		if (this.ownTokens.contains(held.token())) {
+		if (this.ownTokens.contains(current.token())) {
 			return true;
 		}
 		// The holder sent its write before this process saw the row, so a full term from
 		// that time ends after the holder's. The term in the row applies, not the setting
 		// of this process.
-		return nowNanos - this.seenNanos >= held.termMillis() * NANOS_PER_MILLI;
+		return nowNanos - this.rowChangedNanos >= current.termMillis() * NANOS_PER_MILLI;
 	}
 
 	private LeaseCommand write(String holder, long fence, boolean takeOver, long nowNanos) {
-		this.writes++;
-		String token = this.tokenPrefix + this.writes;
-		LeaseRow next = new LeaseRow(holder, fence, this.terms.termNanos() / NANOS_PER_MILLI, token);
-		this.pending.put(token, new Pending(next, this.version, nowNanos));
+		this.writeCount++;
+		String token = this.tokenPrefix + this.writeCount;
+		LeaseRow newRow = new LeaseRow(holder, fence, this.terms.termNanos() / NANOS_PER_MILLI, token);
+		this.pendingWrites.put(token, new PendingWrite(newRow, this.version, nowNanos));
 		this.writeInFlight = token;
-		this.writeAskedNanos = nowNanos;
-		return new LeaseCommand.Write(next, this.version, takeOver);
+		this.writeSentNanos = nowNanos;
+		return new LeaseCommand.Write(newRow, this.version, takeOver);
 	}
 
-	private void writeEnded(String token, long nowNanos) {
+	private void writeCompleted(String token, long nowNanos) {
 		if (token.equals(this.writeInFlight)) {
 			this.writeInFlight = "";
-			long retry = nowNanos + this.terms.retryNanos() / 2 + this.random.nextLong(this.terms.retryNanos());
+			long retryNanos = nowNanos + this.terms.retryIntervalNanos() / 2
+					+ this.random.nextLong(this.terms.retryIntervalNanos());
 			if (!this.holding || this.nextWriteNanos - nowNanos <= 0) {
-				this.nextWriteNanos = retry;
+				this.nextWriteNanos = retryNanos;
 			}
 		}
 	}
 
-	private void dropUnanswered(long nowNanos) {
-		if (this.readInFlight && nowNanos - this.readAskedNanos >= this.terms.requestNanos()) {
+	private void expireRequests(long nowNanos) {
+		if (this.readInFlight && nowNanos - this.readSentNanos >= this.terms.requestTimeoutNanos()) {
 			accept(new LeaseEvent.ReadFailed(this.readNumber), nowNanos);
 		}
-		if (!this.writeInFlight.isEmpty() && nowNanos - this.writeAskedNanos >= this.terms.requestNanos()) {
+		if (!this.writeInFlight.isEmpty() && nowNanos - this.writeSentNanos >= this.terms.requestTimeoutNanos()) {
 			accept(new LeaseEvent.WriteUnknown(this.writeInFlight), nowNanos);
 		}
 	}
 
-	private record Pending(LeaseRow row, long version, long askedNanos) {
+	private record PendingWrite(LeaseRow row, long version, long sentNanos) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseTerms.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseTerms.java
@@ -9,14 +9,15 @@
  * @param marginNanos how long before the end of the term its holder stops acting; covers
  * clocks that run at different rates and the delay of an order between the check of the
  * lease and its sending
- * @param renewNanos the interval between renewals
- * @param readNanos the interval between reads of a process that does not hold the lease
- * @param retryNanos the delay before a failed read or write is retried
- * @param requestNanos the time after which a read or write without a response is treated
- * as failed, a write with unknown outcome
+ * @param renewalIntervalNanos the interval between renewals
+ * @param readIntervalNanos the interval between reads of a process that does not hold the
+ * lease
+ * @param retryIntervalNanos the delay before a failed read or write is retried
+ * @param requestTimeoutNanos the time after which a read or write without a response is
+ * treated as failed, a write with unknown outcome
  */
-public record LeaseTerms(long termNanos, long marginNanos, long renewNanos, long readNanos, long retryNanos,
-		long requestNanos) {
+public record LeaseTerms(long termNanos, long marginNanos, long renewalIntervalNanos, long readIntervalNanos,
+		long retryIntervalNanos, long requestTimeoutNanos) {
 
 	private static final int RENEWALS_PER_TERM = 4;
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/lease/LeaseMachineTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/lease/LeaseMachineTests.java
@@ -21,8 +21,8 @@
 	// -- acquisition
 
 	@Test
-	void shouldTakeOverAtOnceWhenThereIsNoRow() {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldAcquireImmediatelyWhenThereIsNoRow() {
+		LeaseCommand.Write write = acquire(0);
 		assertThat(write.takeOver()).isTrue();
 		assertThat(write.row().fence()).isEqualTo(1);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), 5 * MILLI);
@@ -34,7 +34,7 @@
 	// two controllers send orders at the same time. It must wait for a full term of the
 	// holder after it saw the row change.
 	@Test
-	void shouldWaitHoldersTermWhenRowIsHeld() {
+	void shouldWaitForTermOfHolderWhenRowIsHeld() {
 		read(0, Optional.of(new LeaseRow("vm-2", 7, 20_000, "x")), 3);
 		assertThat(writes(19_999 * MILLI)).isEmpty();
 		List<LeaseCommand.Write> writes = writes(20_000 * MILLI);
@@ -52,7 +52,7 @@
 	}
 
 	@Test
-	void shouldTakeOverAtOnceWhenHolderGaveItBack() {
+	void shouldAcquireImmediatelyWhenHolderReleased() {
 		read(0, Optional.of(new LeaseRow("", 7, 10_000, "x")), 3);
 		assertThat(writes(1)).hasSize(1);
 	}
@@ -60,7 +60,7 @@
 	// A hundred processes without the lease would each poll its row, although the holder
 	// announces itself to them.
 	@Test
-	void shouldNotReadWhileHolderSaysThatItHolds() {
+	void shouldNotReadWhenHolderAnnouncesItself() {
 		read(0, Optional.of(new LeaseRow("vm-2", 7, 10_000, "x")), 3);
 		for (long millis = 0; millis < 60_000; millis += 250) {
 			this.lease.heldElsewhere(millis * MILLI);
@@ -69,7 +69,7 @@
 	}
 
 	@Test
-	void shouldReadAndTakeOverOnceHolderIsNotHeardAnyMore() {
+	void shouldReadWhenAnnouncementOfHolderExpired() {
 		read(0, Optional.of(new LeaseRow("vm-2", 7, 10_000, "x")), 3);
 		this.lease.heldElsewhere(20_000 * MILLI);
 		assertThat(this.lease.tick(20_900 * MILLI)).isEmpty();
@@ -81,8 +81,8 @@
 	// After a process pause the holder's streams are closed and a successor is active.
 	// The former holder must not send an order when it resumes.
 	@Test
-	void shouldNotOrderWhenPausedPastTheTerm() {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldNotSendOrdersWhenPausedPastTerm() {
+		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), MILLI);
 		assertThat(this.lease.mayOrder(8_999 * MILLI)).isTrue();
 		assertThat(this.lease.mayOrder(9_000 * MILLI)).isFalse();
@@ -91,8 +91,8 @@
 	// The response to the acquiring write is seconds late. The term must count from
 	// before the request, since other processes count from when the write took effect.
 	@Test
-	void shouldCountTermFromBeforeAskingWhenAnswerIsLate() {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldCountTermFromBeforeRequestWhenResponseIsLate() {
+		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), 2_000 * MILLI);
 		assertThat(this.lease.remainingNanos(2_000 * MILLI)).isEqualTo(7_000 * MILLI);
 	}
@@ -100,8 +100,8 @@
 	// The response is lost after the write took effect. The holder recognises its own
 	// write by the token of the row, and the term still counts from before the request.
 	@Test
-	void shouldResolveLostAnswerByItsOwnToken() {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldRecogniseOwnWriteWhenResponseIsLost() {
+		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteUnknown(write.row().token()), 1_000 * MILLI);
 		assertThat(this.lease.mayOrder(1_000 * MILLI)).isFalse();
 		read(1_500 * MILLI, Optional.of(write.row()), 1);
@@ -109,8 +109,8 @@
 	}
 
 	@Test
-	void shouldStopWhenStorageIsDownToTheTermsEnd() {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldStopAtEndOfTermWhenStoreIsUnavailable() {
+		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), MILLI);
 		for (long now = 2; now < 12_000; now += 100) {
 			for (LeaseCommand command : this.lease.tick(now * MILLI)) {
@@ -125,8 +125,8 @@
 
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2 })
-	void shouldStopAtOnceWhenAnotherHolderIsSeen(long fence) {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldStopImmediatelyWhenAnotherHolderIsObserved(long fence) {
+		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), MILLI);
 		read(4_000 * MILLI, Optional.of(new LeaseRow("vm-2", fence, 10_000, "x")), 2);
 		assertThat(this.lease.mayOrder(4_000 * MILLI)).isFalse();
@@ -135,7 +135,7 @@
 	// The response to a read that timed out arrives late, with an outdated row: the
 	// process would treat the row as changed, or its own lease as lost.
 	@Test
-	void shouldIgnoreAnswerOfAnEarlierRead() {
+	void shouldIgnoreResponseWhenReadIsNotInFlight() {
 		read(0, Optional.of(new LeaseRow("vm-2", 7, 10_000, "x")), 3);
 		this.lease.accept(new LeaseEvent.RowRead(1, Optional.empty(), 0), 5_000 * MILLI);
 		assertThat(writes(5_001 * MILLI)).isEmpty();
@@ -147,8 +147,8 @@
 	// that no VMs would be bought and no orders sent.
 	@ParameterizedTest
 	@ValueSource(longs = { -600_000 * MILLI, -1, 0, 1, Long.MAX_VALUE - 3 * MILLI, Long.MIN_VALUE })
-	void shouldTakeHoldAndLapseWhereverTheClockStarts(long start) {
-		LeaseCommand.Write write = takeOver(start);
+	void shouldAcquireAndExpireWhereverClockStarts(long start) {
+		LeaseCommand.Write write = acquire(start);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), start + 5 * MILLI);
 		assertThat(this.lease.mayOrder(start + 8_999 * MILLI)).isTrue();
 		assertThat(this.lease.mayOrder(start + 9_000 * MILLI)).isFalse();
@@ -158,22 +158,22 @@
 	// -- release
 
 	@Test
-	void shouldGiveBackOnceAndOrderNoMore() {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldReleaseOnceAndSendNoMoreOrders() {
+		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), MILLI);
 		this.lease.release(2 * MILLI);
 		assertThat(this.lease.mayOrder(2 * MILLI)).isFalse();
-		LeaseCommand.Write back = writes(2 * MILLI).getFirst();
-		assertThat(back.row().isReleased()).isTrue();
-		assertThat(back.row().fence()).isEqualTo(1);
-		this.lease.accept(new LeaseEvent.WriteCommitted(back.row().token(), 2), 3 * MILLI);
+		LeaseCommand.Write release = writes(2 * MILLI).getFirst();
+		assertThat(release.row().isReleased()).isTrue();
+		assertThat(release.row().fence()).isEqualTo(1);
+		this.lease.accept(new LeaseEvent.WriteCommitted(release.row().token(), 2), 3 * MILLI);
 		assertThat(this.lease.isReleased()).isTrue();
 		assertThat(writes(20_000 * MILLI)).isEmpty();
 	}
 
 	// -- helpers
 
-	private LeaseCommand.Write takeOver(long now) {
+	private LeaseCommand.Write acquire(long now) {
 		read(now, Optional.empty(), 0);
 		return writes(now).getFirst();
 	}
