--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseMachine.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseMachine.java
@@ -34,9 +34,8 @@
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
 	/**
-	 * The time that each process adds to the read interval of all processes that do not
-	 * hold the lease, in nanoseconds: together they read about 40 times per second at
-	 * most.
+	 * The time that each process without the lease adds to the read interval of all of
+	 * them, in nanoseconds: together they read at most 40 times per second on average.
 	 */
 	private static final long READ_INTERVAL_NANOS_PER_PROCESS = 25 * NANOS_PER_MILLI;
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Rollout.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Rollout.java
@@ -143,8 +143,8 @@
 		return announced && verdict() != Verdict.BAD;
 	}
 
-	// Uses only the candidate servers' share that equals the share of the calls, so that
-	// each one runs at its later load and faults that need this load show up.
+	// Uses the same share of the candidate servers as of the calls, so that each of them
+	// runs at its later load and faults that occur only under load are detected.
 	private Set<String> trialServers(List<BackendServer> candidate) {
 		long count = Math.max(1, Math.round(candidate.size() * this.trialShare));
 		return candidate.stream()
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashSimulation.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashSimulation.java
@@ -168,7 +168,8 @@
 	}
 
 	/**
-	 * Returns the number of times the request was sent after the time for propagation.
+	 * Returns how often the harmful request was sent after its third crash and the time
+	 * for propagation.
 	 */
 	int excessSends() {
 		if (this.harmfulRequestCrashes.size() < CrashTable.QUARANTINE_THRESHOLD) {
@@ -212,7 +213,8 @@
 		return TimeUnit.MILLISECONDS.toNanos(this.nowMillis);
 	}
 
-	// Copies in the servers' queues are withdrawn once their request is quarantined.
+	// Attempts that servers have not completed are withdrawn once their request is
+	// quarantined.
 	private void withdraw(RequestDigest request) {
 		for (Gateway gateway : this.gateways) {
 			if (gateway.table.judge(request) instanceof Judgement.Held) {
@@ -346,7 +348,7 @@
 
 	}
 
-	/** A server with its calls, each with the gateway that sent it. */
+	/** A server with its running attempts, each with the gateway that sent it. */
 	private final class Server {
 
 		private Start start = newStart();
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashSimulationTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashSimulationTests.java
@@ -85,9 +85,8 @@
 		assertThat(simulation.refused(load.popular())).isEqualTo(before);
 	}
 
-	// Servers crash one after the other without being caused by a request, and
-	// connections are reset: requests that are retried and lose a server again are
-	// harmless.
+	// Servers crash one after the other for reasons other than a request, and connections
+	// are reset: requests that are retried and lose a server again are harmless.
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 1, 2, 3, 4, 5, 6, 7 })
 	void shouldLimitRefusalsWhenServersCrashIndependently(long seed) {
