--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/CrashTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/CrashTable.java
@@ -16,85 +16,92 @@
 import java.util.function.Predicate;
 
 import org.rosemaryfront.crashes.Evidence.State;
-import org.rosemaryfront.crashes.Suspect.Entry;
+import org.rosemaryfront.crashes.SuspectedRequest.Entry;
 import org.rosemaryfront.dispatch.BackendServer.Start;
 
 /**
- * The requests under which backend servers crash.
+ * Tracks the requests that servers had when they crashed, and quarantines those that
+ * probably caused the crashes.
  *
  * <p>
- * A request can crash every server that begins to run it. Its caller sends it again,
- * under a new id, through any process; taken for a first one each time, one request took
- * down twenty servers within ten seconds, each with up to twenty calls of others. A
- * request under which three servers crashed is held back, at all processes and over their
- * restarts.
+ * A request can crash every server that begins to run it, and its caller retries it with
+ * a new request id through any process. When each retry was treated as a new request, one
+ * request crashed twenty servers within ten seconds, each with up to twenty calls of
+ * other callers. A request that three servers had when they crashed is quarantined in all
+ * processes, also after they restart.
  *
  * <p>
- * Most requests that a crashing server had are innocent. Against them speaks only a crash
- * that was confirmed, of a server that was not about to leave. It is cleared when the
- * server answers again, or when the request is answered whole. Where the servers crashed
- * at one moment, as when an availability zone loses power under a request that many ask
- * for, one copy is sent on trial.
+ * Most requests that a crashing server had did not cause the crash. Evidence is confirmed
+ * only when the server is known to have crashed and was not already leaving. It is
+ * cleared when the server responds again or the request gets a complete response. If the
+ * servers crashed at the same time, as when an availability zone loses power while many
+ * callers send the same request, one copy is sent as a probe.
  *
  * <p>
- * Used on one thread, but for {@link #isHeld}. Times are on the monotonic clock, in
- * nanoseconds, unless they say otherwise.
+ * Not thread-safe, except for {@link #isHeld} and {@link #heldCount}. Times are on the
+ * monotonic clock, in nanoseconds, unless stated otherwise.
  */
 public final class CrashTable {
 
 	/**
-	 * Servers that may crash under a request before it is held back. One or two happen to
-	 * innocent requests, which are sent again and land beside the guilty one once more.
+	 * The number of crashes at which a request is quarantined. One or two also occur for
+	 * harmless requests: they are retried and can share a server with the harmful request
+	 * a second time.
 	 */
-	public static final int HELD_AFTER = 3;
+	public static final int QUARANTINE_THRESHOLD = 3;
 
 	/**
-	 * Crashes that lie no further apart than this are one moment, in milliseconds: an
-	 * availability zone's servers go at once, and each copy of a guilty request waits for
-	 * its turn for a time of its own.
+	 * The longest time between crashes that count as simultaneous, in milliseconds: the
+	 * servers of an availability zone fail together, whereas copies of a harmful request
+	 * spend different times in the servers' queues.
 	 */
-	private static final long MOMENT_MILLIS = 250;
+	private static final long SIMULTANEITY_WINDOW_MILLIS = 250;
 
-	/** The pause behind a write that failed. */
-	private static final long WRITE_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
+	/** The delay before a failed write is retried. */
+	private static final long WRITE_RETRY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
-	/** News told at once; a report stays well below the size of a datagram. */
-	private static final int MOST_NEWS = 16;
+	/**
+	 * The maximum number of updates in one report, which keeps it well below the size of
+	 * a datagram.
+	 */
+	private static final int MAX_UPDATES = 16;
 
 	/**
-	 * Requests that are remembered at most, about 300 bytes each. Those with the fewest
-	 * crashes are forgotten first.
+	 * The maximum number of requests in the table, about 300 bytes each. Those with the
+	 * fewest crashes are evicted first.
 	 */
-	private static final int MOST_REQUESTS = 4_096;
+	private static final int MAX_REQUESTS = 4_096;
 
 	/**
-	 * Rows of requests with a single crash that this process lets into the store at most;
-	 * requests with more are always written.
+	 * The number of stored requests with a single crash at which this process stops
+	 * writing more of them; requests with more crashes are always written.
 	 */
-	private static final int MOST_SINGLE_ROWS = 1_024;
+	private static final int MAX_SINGLE_CRASH_ROWS = 1_024;
 
-	private final Map<RequestDigest, Suspect> suspects = new LinkedHashMap<>();
+	private final Map<RequestDigest, SuspectedRequest> suspectedRequests = new LinkedHashMap<>();
 
-	/** The requests that a server had when it crashed, or may have crashed. */
+	/** The requests that each server had when it crashed, or may have crashed. */
 	private final Map<Start, List<RequestDigest>> byServer = new HashMap<>();
 
 	/**
-	 * What may still be written or forgotten. It is looked at many times a second, and
-	 * nearly all that is known is settled.
+	 * The entries that may still be written or may expire. They are scanned many times a
+	 * second, and nearly all entries need neither.
 	 */
 	private final Set<Entry> unsettled = new LinkedHashSet<>();
 
-	/** Requests to be held back; read on any thread. */
-	private final Set<RequestDigest> held = ConcurrentHashMap.newKeySet();
+	/**
+	 * The quarantined requests, including those that may be probed; read on any thread.
+	 */
+	private final Set<RequestDigest> quarantined = ConcurrentHashMap.newKeySet();
 
-	// -- what calls show
+	// -- observations of this process
 
 	/**
-	 * A connection broke off while its server had a request.
+	 * Records that a connection broke while its server had a request.
 	 * @param crash the server and the request
-	 * @param atMillis the time of day, in milliseconds since 1970
-	 * @param nowNanos the time
-	 * @return whether it must be found out if the server crashed
+	 * @param atMillis the current time of day, in milliseconds since 1970
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return whether the caller must check if the server crashed
 	 */
 	public boolean suspected(Crash crash, long atMillis, long nowNanos) {
 		if (find(crash).isPresent()) {
@@ -105,142 +112,153 @@
 	}
 
 	/**
-	 * A server has crashed.
+	 * Records that a server has crashed.
 	 * @param server the start of the server
-	 * @param nowNanos the time
-	 * @return what that confirms
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the evidence that this confirms
 	 */
 	public List<Evidence> crashed(Start server, long nowNanos) {
-		return change(entriesOf(server), State.CONFIRMED, nowNanos);
+		return changeState(entriesOf(server), State.CONFIRMED, nowNanos);
 	}
 
 	/**
-	 * A server answered a call that was sent after its connections broke, so that it has
-	 * not crashed.
+	 * Records that a server responded to a call. If the call was sent after a connection
+	 * broke, the server did not crash then.
 	 * @param server the start of the server
 	 * @param sentNanos when the call was sent
-	 * @param nowNanos the time
-	 * @return what that clears
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the evidence that this clears
 	 */
 	public List<Evidence> answers(Start server, long sentNanos, long nowNanos) {
 		if (!this.byServer.containsKey(server)) {
 			return List.of();
 		}
-		List<Entry> before = entriesOf(server).stream().filter((entry) -> sentNanos - entry.sinceNanos > 0).toList();
-		return change(before, State.CLEARED, nowNanos);
+		List<Entry> earlier = entriesOf(server).stream()
+			.filter((entry) -> sentNanos - entry.recordedNanos > 0)
+			.toList();
+		return changeState(earlier, State.CLEARED, nowNanos);
 	}
 
 	/**
-	 * A request was answered whole, or is released by an operator.
+	 * Clears the evidence against a request that got a complete response or was released
+	 * by an operator.
 	 * @param request the request
-	 * @param nowNanos the time
-	 * @return what that clears
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the evidence that this clears
 	 */
 	public List<Evidence> cleared(RequestDigest request, long nowNanos) {
-		Suspect suspect = this.suspects.get(request);
-		return (suspect != null) ? change(suspect.entries.values(), State.CLEARED, nowNanos) : List.of();
+		SuspectedRequest suspect = this.suspectedRequests.get(request);
+		return (suspect != null) ? changeState(suspect.entries.values(), State.CLEARED, nowNanos) : List.of();
 	}
 
-	// -- what others tell
+	// -- updates from other processes and the store
 
 	/**
-	 * Takes what another process told.
-	 * @param told the evidence
-	 * @param nowNanos the time
-	 * @return whether it is news
+	 * Applies evidence received from another process.
+	 * @param received the evidence
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return whether this changed the evidence
 	 */
-	public boolean heard(Evidence told, long nowNanos) {
-		return take(told, nowNanos).isPresent();
+	public boolean heard(Evidence received, long nowNanos) {
+		return merge(received, nowNanos).isPresent();
 	}
 
 	/**
-	 * Takes a row of the store.
-	 * @param row the evidence in it
-	 * @param nowNanos the time
-	 * @return whether it is news
+	 * Applies a row read from the store.
+	 * @param row the evidence in the row
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return whether this changed the evidence
 	 */
 	public boolean stored(Evidence row, long nowNanos) {
-		boolean news = take(row, nowNanos).isPresent();
+		boolean hasChanged = merge(row, nowNanos).isPresent();
 		find(row.crash()).ifPresent((entry) -> {
 			entry.hasRow = true;
-			// A row in an earlier state may come from a write that was late.
+			// A row in an earlier state may result from a delayed write.
 			entry.stored = entry.evidence.state() == row.state();
 			this.unsettled.add(entry);
 		});
-		return news;
+		return hasChanged;
 	}
 
 	/**
-	 * A row is no longer in the store.
-	 * @param crash what it was about
+	 * Removes evidence whose row is no longer in the store.
+	 * @param crash the crash that the row described
 	 */
 	public void removed(Crash crash) {
 		find(crash).filter((entry) -> entry.hasRow).ifPresent((_) -> remove(crash));
 	}
 
 	/**
-	 * Takes whether the one trial of a request was given away.
+	 * Records whether the single probe of a request has been granted.
 	 * @param request the request
-	 * @param given whether some process has it, or had it
+	 * @param granted whether a process has, or had, the probe
 	 */
-	public void trial(RequestDigest request, boolean given) {
-		if (given) {
-			this.suspects.computeIfAbsent(request, (_) -> new Suspect()).trialGiven = true;
+	public void trial(RequestDigest request, boolean granted) {
+		if (granted) {
+			this.suspectedRequests.computeIfAbsent(request, (_) -> new SuspectedRequest()).probeGranted = true;
 		}
 		else {
-			Optional.ofNullable(this.suspects.get(request)).ifPresent((suspect) -> suspect.trialGiven = false);
+			Optional.ofNullable(this.suspectedRequests.get(request))
+				.ifPresent((suspect) -> suspect.probeGranted = false);
 		}
 	}
 
-	// Evidence only moves forward, so that news may come in any order and more than once.
-	private Optional<Entry> take(Evidence told, long nowNanos) {
-		Optional<Entry> known = find(told.crash());
-		if (known.isEmpty()) {
-			Entry entry = add(told, nowNanos);
-			entry.heard(told, nowNanos);
+	// The state of evidence only advances, so updates may be reordered and duplicated.
+	private Optional<Entry> merge(Evidence received, long nowNanos) {
+		Optional<Entry> existing = find(received.crash());
+		if (existing.isEmpty()) {
+			Entry entry = add(received, nowNanos);
+			entry.receive(received, nowNanos);
 			return Optional.of(entry);
 		}
-		if (known.get().evidence.state().compareTo(told.state()) >= 0) {
+		if (existing.get().evidence.state().compareTo(received.state()) >= 0) {
 			return Optional.empty();
 		}
-		known.get().heard(told, nowNanos);
-		this.unsettled.add(known.get());
-		review(told.crash().request());
-		return known;
+		existing.get().receive(received, nowNanos);
+		this.unsettled.add(existing.get());
+		updateQuarantine(received.crash().request());
+		return existing;
 	}
 
-	// -- what is to be told
+	// -- updates for the store and other processes
 
 	/**
-	 * What the store lacks, that which weighs most first.
-	 * @param most the most rows that are wanted
-	 * @param nowNanos the time
-	 * @return the rows, to be confirmed by {@link #written} or {@link #notWritten}
+	 * Returns the evidence to be written to the store, that of requests with the most
+	 * crashes first.
+	 * @param limit the maximum number of rows
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the rows; the caller reports each outcome with {@link #written} or
+	 * {@link #notWritten}
 	 */
-	public List<Evidence> unwritten(int most, long nowNanos) {
-		List<Entry> due = this.unsettled.stream().filter((entry) -> entry.isDue(isSingle(entry), nowNanos)).toList();
+	public List<Evidence> unwritten(int limit, long nowNanos) {
+		List<Entry> due = this.unsettled.stream()
+			.filter((entry) -> entry.isWriteDue(isOnlyCrash(entry), nowNanos))
+			.toList();
 		if (due.isEmpty()) {
 			return List.of();
 		}
-		boolean isFull = this.suspects.values().stream().filter(Suspect::isSingleRow).count() >= MOST_SINGLE_ROWS;
+		boolean isFull = this.suspectedRequests.values()
+			.stream()
+			.filter(SuspectedRequest::hasSingleStoredCrash)
+			.count() >= MAX_SINGLE_CRASH_ROWS;
 		return due.stream()
-			.filter((entry) -> !isFull || !isSingle(entry))
-			.sorted(Comparator.comparingInt((Entry entry) -> -suspect(entry).entries.size()))
-			.limit(most)
+			.filter((entry) -> !isFull || !isOnlyCrash(entry))
+			.sorted(Comparator.comparingInt((Entry entry) -> -suspectedRequest(entry).entries.size()))
+			.limit(limit)
 			.map((entry) -> entry.evidence)
 			.toList();
 	}
 
-	private boolean isSingle(Entry entry) {
-		return suspect(entry).entries.size() == 1;
+	private boolean isOnlyCrash(Entry entry) {
+		return suspectedRequest(entry).entries.size() == 1;
 	}
 
-	private Suspect suspect(Entry entry) {
-		return this.suspects.get(entry.request());
+	private SuspectedRequest suspectedRequest(Entry entry) {
+		return this.suspectedRequests.get(entry.request());
 	}
 
 	/**
-	 * The store has a row in this state or a later one.
+	 * Records that the store has a row in this state or a later one.
 	 * @param row the row
 	 */
 	public void written(Evidence row) {
@@ -251,123 +269,125 @@
 	}
 
 	/**
-	 * It is not known whether the store has a row.
+	 * Records that a write failed or its outcome is unknown, and schedules a retry.
 	 * @param row the row
-	 * @param nowNanos the time
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void notWritten(Evidence row, long nowNanos) {
-		find(row.crash()).ifPresent((entry) -> entry.writeFrom(nowNanos + WRITE_AGAIN_NANOS));
+		find(row.crash()).ifPresent((entry) -> entry.scheduleWrite(nowNanos + WRITE_RETRY_INTERVAL_NANOS));
 	}
 
 	/**
-	 * What this process saw of late, for the others, that which weighs most first.
-	 * @param nowNanos the time
-	 * @return the news
+	 * Returns the recent observations of this process to be reported to the other
+	 * processes, those of requests with the most crashes first.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the updates
 	 */
 	public List<Evidence> news(long nowNanos) {
-		return this.suspects.values()
+		return this.suspectedRequests.values()
 			.stream()
-			.sorted(Comparator.comparingInt((Suspect suspect) -> -suspect.entries.size()))
+			.sorted(Comparator.comparingInt((SuspectedRequest suspect) -> -suspect.entries.size()))
 			.flatMap((suspect) -> suspect.entries.values().stream())
-			.filter((entry) -> entry.isNews(nowNanos))
-			.limit(MOST_NEWS)
+			.filter((entry) -> entry.isReportDue(nowNanos))
+			.limit(MAX_UPDATES)
 			.map((entry) -> entry.evidence)
 			.toList();
 	}
 
-	// -- time
+	// -- expiry
 
 	/**
-	 * Forgets connections that broke without any sign of a crash, and what was cleared
-	 * before the store had it.
-	 * @param nowNanos the time
-	 * @return the requests of which something was forgotten
+	 * Removes suspected crashes that were not confirmed in time, and cleared evidence
+	 * that has no row in the store.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the requests whose evidence was removed, once for each removed entry
 	 */
 	public List<RequestDigest> expire(long nowNanos) {
 		this.unsettled.removeIf(Entry::isSettled);
-		List<Crash> over = this.unsettled.stream()
-			.filter((entry) -> entry.isOver(nowNanos))
+		List<Crash> expired = this.unsettled.stream()
+			.filter((entry) -> entry.isExpired(nowNanos))
 			.map((entry) -> entry.evidence.crash())
 			.toList();
-		over.forEach(this::remove);
-		return over.stream().map(Crash::request).toList();
+		expired.forEach(this::remove);
+		return expired.stream().map(Crash::request).toList();
 	}
 
 	// -- queries
 
 	/**
-	 * Whether a request is held back, or needs a trial; for a last look before it is
-	 * sent, on any thread.
+	 * Returns whether a request is quarantined; for the final check before it is sent.
+	 * May be called on any thread.
 	 * @param request the request
-	 * @return true when it must not be sent but for a trial
+	 * @return true if the request must not be sent, except as a probe
 	 */
 	public boolean isHeld(RequestDigest request) {
-		return !this.held.isEmpty() && this.held.contains(request);
+		return !this.quarantined.isEmpty() && this.quarantined.contains(request);
 	}
 
 	/**
-	 * What may be done with a request.
+	 * Decides whether a request may be sent.
 	 * @param request the request
-	 * @return the judgement
+	 * @return the decision
 	 */
 	public Judgement judge(RequestDigest request) {
-		Suspect suspect = this.suspects.get(request);
+		SuspectedRequest suspect = this.suspectedRequests.get(request);
 		if (suspect == null) {
 			return Judgement.Free.UNSUSPECTED;
 		}
-		List<Evidence> against = suspect.against();
-		List<Start> servers = against.stream().map((one) -> one.crash().server()).toList();
-		if (against.size() < HELD_AFTER) {
+		List<Evidence> uncleared = suspect.unclearedEvidence();
+		List<Start> servers = uncleared.stream().map((counted) -> counted.crash().server()).toList();
+		if (uncleared.size() < QUARANTINE_THRESHOLD) {
 			return new Judgement.Free(servers);
 		}
-		boolean mayBeTried = !suspect.trialGiven && isOneMoment(against);
-		return mayBeTried ? new Judgement.OnTrial(servers) : new Judgement.Held(servers);
+		boolean mayProbe = !suspect.probeGranted && areSimultaneous(uncleared);
+		return mayProbe ? new Judgement.OnTrial(servers) : new Judgement.Held(servers);
 	}
 
 	/**
-	 * What is known of a crash.
+	 * Returns the evidence of a crash.
 	 * @param crash the crash
-	 * @return the evidence, empty when there is none
+	 * @return the evidence, empty if there is none
 	 */
 	public Optional<Evidence> evidence(Crash crash) {
 		return find(crash).map((entry) -> entry.evidence);
 	}
 
 	/**
-	 * All that is known.
-	 * @return the evidence by request, the oldest request first
+	 * Returns all evidence.
+	 * @return the evidence by request, in the order in which the requests were added
 	 */
 	public Map<RequestDigest, List<Evidence>> all() {
 		Map<RequestDigest, List<Evidence>> all = new LinkedHashMap<>();
-		this.suspects.forEach((request, suspect) -> all.put(request,
+		this.suspectedRequests.forEach((request, suspect) -> all.put(request,
 				suspect.entries.values().stream().map((entry) -> entry.evidence).toList()));
 		return all;
 	}
 
 	/**
-	 * The requests that are remembered.
-	 * @return the count
+	 * Returns the number of requests in the table.
+	 * @return the number of requests
 	 */
 	public int size() {
-		return this.suspects.size();
+		return this.suspectedRequests.size();
 	}
 
 	/**
-	 * The requests that are held back; may be asked on any thread.
-	 * @return the count
+	 * Returns the number of quarantined requests, including those that may be probed. May
+	 * be called on any thread.
+	 * @return the number of requests
 	 */
 	public int heldCount() {
-		return this.held.size();
+		return this.quarantined.size();
 	}
 
-	private static boolean isOneMoment(List<Evidence> inOrder) {
-		return inOrder.getLast().atMillis() - inOrder.getFirst().atMillis() <= MOMENT_MILLIS;
+	private static boolean areSimultaneous(List<Evidence> sorted) {
+		return sorted.getLast().atMillis() - sorted.getFirst().atMillis() <= SIMULTANEITY_WINDOW_MILLIS;
 	}
 
 	// -- entries
 
 	private Optional<Entry> find(Crash crash) {
-		return Optional.ofNullable(this.suspects.get(crash.request()))
+		return Optional.ofNullable(this.suspectedRequests.get(crash.request()))
 			.map((suspect) -> suspect.entries.get(crash.server()));
 	}
 
@@ -380,76 +400,77 @@
 	}
 
 	private Entry add(Evidence evidence, long nowNanos) {
-		makeRoom();
+		evictIfFull();
 		Entry entry = new Entry(evidence, nowNanos);
 		Crash crash = evidence.crash();
-		this.suspects.computeIfAbsent(crash.request(), (_) -> new Suspect()).entries.put(crash.server(), entry);
+		this.suspectedRequests.computeIfAbsent(crash.request(), (_) -> new SuspectedRequest()).entries
+			.put(crash.server(), entry);
 		this.byServer.computeIfAbsent(crash.server(), (_) -> new ArrayList<>()).add(crash.request());
 		this.unsettled.add(entry);
-		review(crash.request());
+		updateQuarantine(crash.request());
 		return entry;
 	}
 
-	private List<Evidence> change(Collection<Entry> entries, State state, long nowNanos) {
+	private List<Evidence> changeState(Collection<Entry> entries, State state, long nowNanos) {
 		List<Evidence> changed = new ArrayList<>();
 		for (Entry entry : List.copyOf(entries)) {
 			if (entry.evidence.state().compareTo(state) >= 0) {
 				continue;
 			}
-			boolean unknownElsewhere = entry.evidence.state() == State.SUSPECTED && state == State.CLEARED;
-			entry.change(state, nowNanos);
+			boolean isUnreported = entry.evidence.state() == State.SUSPECTED && state == State.CLEARED;
+			entry.changeState(state, nowNanos);
 			this.unsettled.add(entry);
 			changed.add(entry.evidence);
-			if (unknownElsewhere) {
+			if (isUnreported) {
 				remove(entry.evidence.crash());
 			}
-			review(entry.request());
+			updateQuarantine(entry.request());
 		}
 		return changed;
 	}
 
 	private void remove(Crash crash) {
-		Suspect suspect = this.suspects.get(crash.request());
-		forgetEntry(suspect.entries.remove(crash.server()));
-		if (suspect.entries.isEmpty() && !suspect.trialGiven) {
-			this.suspects.remove(crash.request());
+		SuspectedRequest suspect = this.suspectedRequests.get(crash.request());
+		removeFromIndexes(suspect.entries.remove(crash.server()));
+		if (suspect.entries.isEmpty() && !suspect.probeGranted) {
+			this.suspectedRequests.remove(crash.request());
 		}
-		review(crash.request());
+		updateQuarantine(crash.request());
 	}
 
-	private void review(RequestDigest request) {
+	private void updateQuarantine(RequestDigest request) {
 		switch (judge(request)) {
-			case Judgement.Free _ -> this.held.remove(request);
-			case Judgement.OnTrial _, Judgement.Held _ -> this.held.add(request);
+			case Judgement.Free _ -> this.quarantined.remove(request);
+			case Judgement.OnTrial _, Judgement.Held _ -> this.quarantined.add(request);
 		}
 	}
 
-	private void makeRoom() {
-		if (this.suspects.size() < MOST_REQUESTS) {
+	private void evictIfFull() {
+		if (this.suspectedRequests.size() < MAX_REQUESTS) {
 			return;
 		}
-		forgetFirst((suspect) -> suspect.against().isEmpty());
-		for (int crashes = 1; this.suspects.size() >= MOST_REQUESTS; crashes++) {
-			int most = crashes;
-			forgetFirst((suspect) -> suspect.entries.size() <= most);
+		evictFirst((suspect) -> suspect.unclearedEvidence().isEmpty());
+		for (int crashes = 1; this.suspectedRequests.size() >= MAX_REQUESTS; crashes++) {
+			int limit = crashes;
+			evictFirst((suspect) -> suspect.entries.size() <= limit);
 		}
 	}
 
-	private void forgetFirst(Predicate<Suspect> which) {
-		for (Iterator<Suspect> it = this.suspects.values().iterator(); it.hasNext();) {
-			Suspect suspect = it.next();
-			if (which.test(suspect)) {
+	private void evictFirst(Predicate<SuspectedRequest> condition) {
+		for (Iterator<SuspectedRequest> it = this.suspectedRequests.values().iterator(); it.hasNext();) {
+			SuspectedRequest suspect = it.next();
+			if (condition.test(suspect)) {
 				it.remove();
 				suspect.entries.values().forEach((entry) -> {
-					forgetEntry(entry);
-					this.held.remove(entry.request());
+					removeFromIndexes(entry);
+					this.quarantined.remove(entry.request());
 				});
 				return;
 			}
 		}
 	}
 
-	private void forgetEntry(Entry entry) {
+	private void removeFromIndexes(Entry entry) {
 		this.unsettled.remove(entry);
 		Crash crash = entry.evidence.crash();
 		List<RequestDigest> requests = this.byServer.get(crash.server());
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseMachine.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseMachine.java
@@ -12,15 +12,16 @@
 import java.util.SplittableRandom;
 
 /**
- * The lease under which one controller at a time gives orders, as a state machine without
- * input and output. Times are on this process's monotonic clock, in nanoseconds.
+ * The state machine of a lease under which one process at a time may send orders. It does
+ * no I/O itself: {@link #tick} returns the requests to send, {@link #accept} takes their
+ * outcomes. Times are on this process's monotonic clock, in nanoseconds.
  *
  * <p>
- * Two rules keep two holders from acting at a time without comparing clocks. A holder
- * counts its term from before it asked for the write and stops a margin before its end. A
- * successor waits a full term after it saw the row change for the last time, which cannot
- * be before the holder asked; then it writes on the condition that the row is still the
- * one it saw.
+ * Two rules prevent two holders at the same time without comparing clocks. A holder
+ * counts its term from before it sent the write, and stops a margin before the end of the
+ * term. A successor waits for a full term after it last saw the row change, which cannot
+ * be before the holder sent the write; it then writes on condition that the row is
+ * unchanged.
  *
  * <pre>
  * LeaseMachine lease = LeaseMachine.of("vm-1", terms, seed);
@@ -33,13 +34,13 @@
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
 	/**
-	 * What each process that waits for the lease adds to the time between two reads of
-	 * one of them, in nanoseconds: together they read at most 40 times a second.
+	 * The time that each process without the lease adds to the read interval of all of
+	 * them, in nanoseconds: together they read at most 40 times per second on average.
 	 */
-	private static final long READ_NANOS_PER_PROCESS = 25 * NANOS_PER_MILLI;
+	private static final long READ_INTERVAL_NANOS_PER_PROCESS = 25 * NANOS_PER_MILLI;
 
-	/** For how long the word of a holder counts. */
-	private static final long CLAIM_NANOS = 1_000 * NANOS_PER_MILLI;
+	/** The time after which an announcement of the holder expires. */
+	private static final long ANNOUNCEMENT_TIMEOUT_NANOS = 1_000 * NANOS_PER_MILLI;
 
 	private final String self;
 
@@ -49,8 +50,10 @@
 
 	private final String tokenPrefix;
 
-	/** Writes whose outcome is unknown, by token, with the time before each was asked. */
-	private final Map<String, Pending> pending = new HashMap<>();
+	/**
+	 * Writes whose outcome is unknown, by token, each with the time before its sending.
+	 */
+	private final Map<String, PendingWrite> pendingWrites = new HashMap<>();
 
 	private final Set<String> ownTokens = new HashSet<>();
 
@@ -60,7 +63,7 @@
 
 	private boolean rowKnown;
 
-	private long seenNanos;
+	private long rowChangedNanos;
 
 	private long highestFence;
 
@@ -72,29 +75,32 @@
 
 	private boolean releasing;
 
-	/** Whether the clock was read; a monotonic clock may start anywhere, also below 0. */
+	/**
+	 * Whether the times have been initialised from the clock; a monotonic clock may start
+	 * at any value, including negative ones.
+	 */
 	private boolean started;
 
 	private long readNumber;
 
 	private boolean readInFlight;
 
-	private long readAskedNanos;
+	private long readSentNanos;
 
 	private long nextReadNanos;
 
 	private String writeInFlight = "";
 
-	private long writeAskedNanos;
+	private long writeSentNanos;
 
 	private long nextWriteNanos;
 
-	private long writes;
+	private long writeCount;
 
 	private int processes;
 
-	/** Until when another process is taken to hold the lease, by its own word. */
-	private OptionalLong claimedUntilNanos = OptionalLong.empty();
+	/** When the latest announcement of another holder expires. */
+	private OptionalLong announcedUntilNanos = OptionalLong.empty();
 
 	private LeaseMachine(String self, LeaseTerms terms, long seed) {
 		this.self = self;
@@ -106,12 +112,12 @@
 	// -- factories
 
 	/**
-	 * A process that does not hold the lease yet.
+	 * Creates the state machine of a process that does not hold the lease yet.
 	 * @param self the VM of the process
-	 * @param terms the times
-	 * @param seed the seed of its jitter; it also tells the tokens of two processes on
-	 * the same VM apart, so that it must differ from start to start
-	 * @return the lease as the process sees it
+	 * @param terms the durations of the lease
+	 * @param seed the seed for the jitter; it is also part of the write tokens, to
+	 * distinguish processes on the same VM, and must therefore differ between starts
+	 * @return the state machine
 	 */
 	public static LeaseMachine of(String self, LeaseTerms terms, long seed) {
 		Objects.requireNonNull(self, "self is null");
@@ -122,43 +128,43 @@
 	// -- queries
 
 	/**
-	 * The fencing number of the lease held now or last.
-	 * @return 0 when this process never held it
+	 * Returns the fencing number under which this process holds or last held the lease.
+	 * @return the fencing number, 0 if this process never held the lease
 	 */
 	public long fence() {
 		return this.heldFence;
 	}
 
 	/**
-	 * The VM that holds the lease as far as this process knows.
-	 * @return the holder, empty for none
+	 * Returns the VM that holds the lease according to the last known row.
+	 * @return the holder, empty if there is none
 	 */
 	public String holder() {
 		return this.row.map(LeaseRow::holder).orElse("");
 	}
 
 	/**
-	 * Whether an order may go out at this very moment. A process that was paused past the
-	 * end of its term reads false here, since its monotonic clock went on.
-	 * @param nowNanos the time
-	 * @return true while this process holds the lease
+	 * Returns whether an order may be sent now. After a process pause beyond the end of
+	 * the term the result is false, since the monotonic clock has advanced.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return true if this process holds the lease and is not releasing it
 	 */
 	public boolean mayOrder(long nowNanos) {
 		return this.holding && !this.releasing && nowNanos - this.validUntilNanos < 0;
 	}
 
 	/**
-	 * How long orders may still go out.
-	 * @param nowNanos the time
-	 * @return 0 when they may not, in nanoseconds
+	 * Returns how long orders may still be sent.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the time in nanoseconds, 0 if no order may be sent
 	 */
 	public long remainingNanos(long nowNanos) {
 		return mayOrder(nowNanos) ? this.validUntilNanos - nowNanos : 0;
 	}
 
 	/**
-	 * Whether the lease was given back and the row shows it.
-	 * @return true when a successor need not wait
+	 * Returns whether the lease was released, or was lost during the release.
+	 * @return true if this process no longer makes a successor wait
 	 */
 	public boolean isReleased() {
 		return this.releasing && !this.holding;
@@ -167,65 +173,66 @@
 	// -- changes
 
 	/**
-	 * Takes an answer of the table service.
-	 * @param event the answer
-	 * @param nowNanos the time
+	 * Applies the outcome of a request to the table service.
+	 * @param event the outcome
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void accept(LeaseEvent event, long nowNanos) {
 		switch (event) {
-			case LeaseEvent.RowRead read -> rowRead(read, nowNanos);
+			case LeaseEvent.RowRead read -> readCompleted(read, nowNanos);
 			case LeaseEvent.ReadFailed failed -> {
 				if (failed.number() == this.readNumber) {
 					this.readInFlight = false;
-					this.nextReadNanos = nowNanos + this.terms.retryNanos();
+					this.nextReadNanos = nowNanos + this.terms.retryIntervalNanos();
 				}
 			}
 			case LeaseEvent.WriteCommitted committed -> {
-				Pending write = this.pending.get(committed.token());
+				PendingWrite write = this.pendingWrites.get(committed.token());
 				if (write != null && committed.version() > this.version) {
-					see(Optional.of(write.row()), committed.version(), nowNanos);
-					// A read under way may show the row before this write.
+					observeRow(Optional.of(write.row()), committed.version(), nowNanos);
+					// A read in flight may return the row from before this write.
 					this.readInFlight = false;
 				}
-				writeEnded(committed.token(), nowNanos);
+				writeCompleted(committed.token(), nowNanos);
 			}
 			case LeaseEvent.WriteRejected rejected -> {
-				this.pending.remove(rejected.token());
-				writeEnded(rejected.token(), nowNanos);
+				this.pendingWrites.remove(rejected.token());
+				writeCompleted(rejected.token(), nowNanos);
 				this.nextReadNanos = nowNanos;
 			}
 			case LeaseEvent.WriteUnknown unknown -> {
-				writeEnded(unknown.token(), nowNanos);
+				writeCompleted(unknown.token(), nowNanos);
 				this.nextReadNanos = nowNanos;
 			}
 		}
 	}
 
 	/**
-	 * Sets how many processes read the row, so that they do not read more often together
-	 * the more they are.
-	 * @param count the controllers known to be alive
+	 * Sets the number of processes that read the row, so that their total read rate is
+	 * limited.
+	 * @param count the number of processes known to be alive
 	 */
 	public void processes(int count) {
 		this.processes = count;
 	}
 
 	/**
-	 * Another process says that it holds the lease. While it does, the row need not be
-	 * read, and nobody takes over.
-	 * @param nowNanos the time
+	 * Records an announcement of another process that it holds the lease. Until the
+	 * announcement expires, this process does not try to acquire the lease; reading the
+	 * row is postponed.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void heldElsewhere(long nowNanos) {
 		if (!this.holding) {
-			this.claimedUntilNanos = OptionalLong.of(nowNanos + CLAIM_NANOS);
-			this.nextReadNanos = afterPause(nowNanos);
+			this.announcedUntilNanos = OptionalLong.of(nowNanos + ANNOUNCEMENT_TIMEOUT_NANOS);
+			this.nextReadNanos = nextReadTime(nowNanos);
 		}
 	}
 
 	/**
-	 * Gives the lease back early, so that a successor takes over at once. No order may go
-	 * out from now on.
-	 * @param nowNanos the time
+	 * Releases the lease before the end of its term, so that a successor can acquire it
+	 * immediately. No order may be sent from now on.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void release(long nowNanos) {
 		this.releasing = true;
@@ -233,8 +240,9 @@
 	}
 
 	/**
-	 * Stops holding because a backend server showed a higher fencing number.
-	 * @param fence the number seen
+	 * Records a fencing number that a backend server reported. If it is higher than that
+	 * of this process, the lease is lost.
+	 * @param fence the fencing number
 	 */
 	public void fenceSeen(long fence) {
 		this.highestFence = Math.max(this.highestFence, fence);
@@ -244,17 +252,17 @@
 	}
 
 	/**
-	 * Lets time pass.
-	 * @param nowNanos the time
-	 * @return what to ask of the table service
+	 * Advances the state machine to the current time.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the requests to send to the table service
 	 */
 	public List<LeaseCommand> tick(long nowNanos) {
 		List<LeaseCommand> commands = new ArrayList<>();
-		start(nowNanos);
+		initialiseTimes(nowNanos);
 		if (this.holding && nowNanos - this.validUntilNanos >= 0) {
 			this.holding = false;
 		}
-		dropUnanswered(nowNanos);
+		expireRequests(nowNanos);
 		if (!this.readInFlight && nowNanos - this.nextReadNanos >= 0 && !isReleased()) {
 			commands.add(read(nowNanos));
 		}
@@ -264,10 +272,10 @@
 		return commands;
 	}
 
-	private void start(long nowNanos) {
+	private void initialiseTimes(long nowNanos) {
 		if (!this.started) {
 			this.started = true;
-			this.nextReadNanos = this.claimedUntilNanos.isPresent() ? this.nextReadNanos : nowNanos;
+			this.nextReadNanos = this.announcedUntilNanos.isPresent() ? this.nextReadNanos : nowNanos;
 			this.nextWriteNanos = nowNanos;
 		}
 	}
@@ -276,58 +284,61 @@
 
 	private LeaseCommand read(long nowNanos) {
 		this.readInFlight = true;
-		this.readAskedNanos = nowNanos;
+		this.readSentNanos = nowNanos;
 		this.readNumber++;
-		this.nextReadNanos = afterPause(nowNanos);
+		this.nextReadNanos = nextReadTime(nowNanos);
 		return new LeaseCommand.Read(this.readNumber);
 	}
 
-	private long afterPause(long nowNanos) {
-		long pause = Math.max(this.terms.readNanos(), this.processes * READ_NANOS_PER_PROCESS);
-		return nowNanos + pause / 2 + this.random.nextLong(pause + 1);
+	private long nextReadTime(long nowNanos) {
+		long interval = Math.max(this.terms.readIntervalNanos(), this.processes * READ_INTERVAL_NANOS_PER_PROCESS);
+		return nowNanos + interval / 2 + this.random.nextLong(interval + 1);
 	}
 
-	private void rowRead(LeaseEvent.RowRead read, long nowNanos) {
-		// A read that was given up may answer after a later one with an older row.
+	private void readCompleted(LeaseEvent.RowRead read, long nowNanos) {
+		// The response to a read that timed out may arrive after that to a later read,
+		// with an older row.
 		if (read.number() != this.readNumber || !this.readInFlight) {
 			return;
 		}
 		this.readInFlight = false;
-		see(read.row(), read.version(), nowNanos);
+		observeRow(read.row(), read.version(), nowNanos);
 	}
 
-	private void see(Optional<LeaseRow> seen, long seenVersion, long nowNanos) {
-		if (!this.rowKnown || seenVersion != this.version) {
-			this.seenNanos = nowNanos;
+	private void observeRow(Optional<LeaseRow> observedRow, long observedVersion, long nowNanos) {
+		if (!this.rowKnown || observedVersion != this.version) {
+			this.rowChangedNanos = nowNanos;
 		}
 		this.rowKnown = true;
-		this.row = seen;
-		this.version = seenVersion;
-		this.highestFence = Math.max(this.highestFence, seen.map(LeaseRow::fence).orElse(0L));
-		Pending own = seen.map((shown) -> this.pending.get(shown.token())).orElse(null);
-		if (own != null) {
-			hold(own);
+		this.row = observedRow;
+		this.version = observedVersion;
+		this.highestFence = Math.max(this.highestFence, observedRow.map(LeaseRow::fence).orElse(0L));
+		PendingWrite ownWrite = observedRow.map((observed) -> this.pendingWrites.get(observed.token())).orElse(null);
+		if (ownWrite != null) {
+			applyOwnWrite(ownWrite);
 		}
-		else if (this.holding && !seen.map((shown) -> this.ownTokens.contains(shown.token())).orElse(false)) {
+		else if (this.holding
+				&& !observedRow.map((observed) -> this.ownTokens.contains(observed.token())).orElse(false)) {
 			this.holding = false;
 		}
-		// A write whose condition names an older version can never take effect any more.
-		this.pending.values().removeIf((write) -> write.version() != seenVersion);
+		// Writes that are conditional on another version can no longer take effect.
+		this.pendingWrites.values().removeIf((write) -> write.version() != observedVersion);
 	}
 
-	private void hold(Pending own) {
-		if (own.row().isReleased()) {
+	private void applyOwnWrite(PendingWrite ownWrite) {
+		if (ownWrite.row().isReleased()) {
 			this.holding = false;
 			return;
 		}
-		// The term counts from before the write was asked: its answer may have come late,
-		// or only by a read, while a successor's wait may have begun with the write.
-		this.validUntilNanos = own.askedNanos() + this.terms.termNanos() - this.terms.marginNanos();
+		// The term counts from before the write was sent: its response may have been
+		// late, or lost and replaced by a read, while a successor's wait may have begun
+		// when the write took effect.
+		this.validUntilNanos = ownWrite.sentNanos() + this.terms.termNanos() - this.terms.marginNanos();
 		this.holding = true;
-		this.heldFence = own.row().fence();
+		this.heldFence = ownWrite.row().fence();
 		this.ownTokens.clear();
-		this.ownTokens.add(own.row().token());
-		this.nextWriteNanos = own.askedNanos() + this.terms.renewNanos();
+		this.ownTokens.add(ownWrite.row().token());
+		this.nextWriteNanos = ownWrite.sentNanos() + this.terms.renewalIntervalNanos();
 	}
 
 	// -- writes
@@ -339,60 +350,62 @@
 		if (this.holding) {
 			return Optional.of(write(this.self, this.heldFence, false, nowNanos));
 		}
-		if (mayTakeOver(nowNanos)) {
+		if (mayAcquire(nowNanos)) {
 			return Optional.of(write(this.self, this.highestFence + 1, true, nowNanos));
 		}
 		return Optional.empty();
 	}
 
-	private boolean mayTakeOver(long nowNanos) {
-		if (this.claimedUntilNanos.isPresent() && nowNanos - this.claimedUntilNanos.getAsLong() < 0) {
+	private boolean mayAcquire(long nowNanos) {
+		if (this.announcedUntilNanos.isPresent() && nowNanos - this.announcedUntilNanos.getAsLong() < 0) {
 			return false;
 		}
 		if (this.row.isEmpty() || this.row.get().isReleased()) {
 			return true;
 		}
-		LeaseRow held = this.row.get();
-		// The row is this process's own expired lease: nobody else acted under it.
-		if (this.ownTokens.contains(held.token())) {
+		LeaseRow current = this.row.get();
+		// The row is this process's own expired lease: no other process has held it
+		// since.
+		if (this.ownTokens.contains(current.token())) {
 			return true;
 		}
-		// The holder cannot have asked after this process saw the row, so that a full
-		// term from there outlasts it; the holder's own term counts, not this process's
-		// setting.
-		return nowNanos - this.seenNanos >= held.termMillis() * NANOS_PER_MILLI;
+		// The holder sent its write before this process saw the row, so a full term from
+		// that time ends after the holder's. The term in the row applies, not the setting
+		// of this process.
+		return nowNanos - this.rowChangedNanos >= current.termMillis() * NANOS_PER_MILLI;
 	}
 
 	private LeaseCommand write(String holder, long fence, boolean takeOver, long nowNanos) {
-		this.writes++;
-		String token = this.tokenPrefix + this.writes;
-		LeaseRow next = new LeaseRow(holder, fence, this.terms.termNanos() / NANOS_PER_MILLI, token);
-		this.pending.put(token, new Pending(next, this.version, nowNanos));
+		this.writeCount++;
+		String token = this.tokenPrefix + this.writeCount;
+		LeaseRow newRow = new LeaseRow(holder, fence, this.terms.termNanos() / NANOS_PER_MILLI, token);
+		this.pendingWrites.put(token, new PendingWrite(newRow, this.version, nowNanos));
 		this.writeInFlight = token;
-		this.writeAskedNanos = nowNanos;
-		return new LeaseCommand.Write(next, this.version, takeOver);
+		this.writeSentNanos = nowNanos;
+		return new LeaseCommand.Write(newRow, this.version, takeOver);
 	}
 
-	private void writeEnded(String token, long nowNanos) {
+	private void writeCompleted(String token, long nowNanos) {
 		if (token.equals(this.writeInFlight)) {
 			this.writeInFlight = "";
-			long retry = nowNanos + this.terms.retryNanos() / 2 + this.random.nextLong(this.terms.retryNanos());
+			long retryNanos = nowNanos + this.terms.retryIntervalNanos() / 2
+					+ this.random.nextLong(this.terms.retryIntervalNanos());
 			if (!this.holding || this.nextWriteNanos - nowNanos <= 0) {
-				this.nextWriteNanos = retry;
+				this.nextWriteNanos = retryNanos;
 			}
 		}
 	}
 
-	private void dropUnanswered(long nowNanos) {
-		if (this.readInFlight && nowNanos - this.readAskedNanos >= this.terms.requestNanos()) {
+	private void expireRequests(long nowNanos) {
+		if (this.readInFlight && nowNanos - this.readSentNanos >= this.terms.requestTimeoutNanos()) {
 			accept(new LeaseEvent.ReadFailed(this.readNumber), nowNanos);
 		}
-		if (!this.writeInFlight.isEmpty() && nowNanos - this.writeAskedNanos >= this.terms.requestNanos()) {
+		if (!this.writeInFlight.isEmpty() && nowNanos - this.writeSentNanos >= this.terms.requestTimeoutNanos()) {
 			accept(new LeaseEvent.WriteUnknown(this.writeInFlight), nowNanos);
 		}
 	}
 
-	private record Pending(LeaseRow row, long version, long askedNanos) {
+	private record PendingWrite(LeaseRow row, long version, long sentNanos) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/LatencyReference.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/LatencyReference.java
@@ -4,27 +4,27 @@
 import java.util.Map;
 
 /**
- * How long calls of a route take at the old version, as this process sees it, to tell
- * which calls are slow.
+ * Classifies calls as slow by comparison with the latency of the baseline version on the
+ * same route, as observed by this process.
  */
 public final class LatencyReference {
 
-	/** A call is slow that takes so many times the usual. */
+	/** The ratio to the baseline latency above which a call is slow. */
 	private static final double SLOW_FACTOR = 2.5;
 
-	/** Calls of a route before any is called slow. */
-	private static final int LEAST_CALLS = 5;
+	/** The minimum number of baseline calls of a route before a call can be slow. */
+	private static final int MIN_CALLS = 5;
 
-	/** The weight of the newest call. */
-	private static final double NEWEST = 0.1;
+	/** The minimum weight of the latest call in the moving average. */
+	private static final double MIN_SMOOTHING_FACTOR = 0.1;
 
-	private final Map<String, Usual> routes = new HashMap<>();
+	private final Map<String, RouteBaseline> routes = new HashMap<>();
 
 	private LatencyReference() {
 	}
 
 	/**
-	 * A reference that knows no calls.
+	 * Creates a reference without any calls.
 	 * @return the reference
 	 */
 	public static LatencyReference empty() {
@@ -32,32 +32,34 @@
 	}
 
 	/**
-	 * Takes a call.
-	 * @param route its route
-	 * @param isFresh whether the new version had it
-	 * @param ratio how long it took, against what was expected where something was
-	 * @return whether it was slow
+	 * Records a call and returns whether it was slow. Only calls of the baseline version
+	 * change the reference.
+	 * @param route the route of the call
+	 * @param isCandidate whether the candidate version served it
+	 * @param ratio the duration of the call, divided by the expected duration if there is
+	 * one
+	 * @return true if the call was slow
 	 */
-	public boolean isSlow(String route, boolean isFresh, double ratio) {
-		Usual usual = this.routes.computeIfAbsent(route, (_) -> new Usual());
-		double log = Math.log(Math.max(ratio, Double.MIN_NORMAL));
-		boolean slow = usual.calls >= LEAST_CALLS && log > usual.mean + Math.log(SLOW_FACTOR);
-		if (!isFresh) {
-			usual.add(log);
+	public boolean isSlow(String route, boolean isCandidate, double ratio) {
+		RouteBaseline baseline = this.routes.computeIfAbsent(route, (_) -> new RouteBaseline());
+		double logRatio = Math.log(Math.max(ratio, Double.MIN_NORMAL));
+		boolean slow = baseline.calls >= MIN_CALLS && logRatio > baseline.meanLog + Math.log(SLOW_FACTOR);
+		if (!isCandidate) {
+			baseline.add(logRatio);
 		}
 		return slow;
 	}
 
-	/** The mean of the logarithms of the old version's times. */
-	private static final class Usual {
+	/** The moving average of the logarithms of the baseline version's durations. */
+	private static final class RouteBaseline {
 
 		private int calls;
 
-		private double mean;
+		private double meanLog;
 
-		private void add(double log) {
+		private void add(double logRatio) {
 			this.calls++;
-			this.mean += Math.max(NEWEST, 1.0 / this.calls) * (log - this.mean);
+			this.meanLog += Math.max(MIN_SMOOTHING_FACTOR, 1.0 / this.calls) * (logRatio - this.meanLog);
 		}
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Rollout.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Rollout.java
@@ -12,73 +12,75 @@
 import java.util.stream.Collectors;
 
 import org.rosemaryfront.dispatch.BackendServer;
-import org.rosemaryfront.rollout.RolloutJudge.Verdict;
+import org.rosemaryfront.rollout.RolloutEvaluator.Verdict;
 
 /**
- * One order to move a service to another version, as one process sees it.
+ * The state of a roll-out in one process.
  *
  * <p>
- * Each process sends its own share of its own calls to the new version, so that all
- * together send no more than that share, whoever is cut off, killed or started. The
- * holder of the duties says how far the roll-out is; without word of it for a while, and
- * once its own view of the calls speaks against the new version, a process sends nothing
- * more there.
+ * Each process sends at most the allowed share of its own calls to the candidate version.
+ * The share of all calls therefore stays within the limit when processes are partitioned,
+ * killed or started. The gateway that holds the duty lease announces the phase. A process
+ * sends no calls to the candidate if it has received no announcement for some time, or
+ * once its own verdict on the candidate is negative.
  */
 public final class Rollout {
 
-	/** What of the allowed share is used: the rest is for the spread of chance. */
-	private static final double SHARE_CAUTION = 0.8;
+	/** The part of the allowed share that is used; the rest absorbs random variation. */
+	private static final double SHARE_SAFETY_FACTOR = 0.8;
 
-	/** For how long the holder's word counts, in nanoseconds. */
-	private static final long WORD_NANOS = TimeUnit.SECONDS.toNanos(2);
+	/** The time after which an announcement of the phase expires, in nanoseconds. */
+	private static final long ANNOUNCEMENT_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
 	private final RolloutOrder order;
 
-	private final double share;
+	private final double trialShare;
 
-	private final RolloutJudge judge;
+	private final RolloutEvaluator evaluator;
 
 	private final Map<String, Tally> own = new HashMap<>();
 
-	/** What each process told last, by route. */
-	private final Map<String, Map<String, Tally>> told = new HashMap<>();
+	/** The latest tallies, by process and route. */
+	private final Map<String, Map<String, Tally>> reported = new HashMap<>();
 
 	private Phase phase = Phase.TRIAL;
 
-	/** When the holder of the duties last said how far it is. */
-	private OptionalLong wordNanos = OptionalLong.empty();
+	/** When the phase was last announced. */
+	private OptionalLong announcedNanos = OptionalLong.empty();
 
-	private Rollout(RolloutOrder order, double share, RolloutJudge judge) {
+	private Rollout(RolloutOrder order, double share, RolloutEvaluator evaluator) {
 		this.order = order;
-		this.share = share * SHARE_CAUTION;
-		this.judge = judge;
+		this.trialShare = share * SHARE_SAFETY_FACTOR;
+		this.evaluator = evaluator;
 	}
 
 	/**
-	 * An order that was just seen.
+	 * Creates the roll-out for a new order, before any announcement of its phase.
 	 * @param order the order
-	 * @param exposureShare what part of the calls a bad version may get
-	 * @return the roll-out, of which the holder said nothing yet
+	 * @param exposureShare the maximum share of the calls that a failing candidate
+	 * version may get
+	 * @return the roll-out
 	 */
 	public static Rollout of(RolloutOrder order, double exposureShare) {
-		return of(order, exposureShare, SequentialJudge::of);
+		return of(order, exposureShare, SequentialEvaluator::of);
 	}
 
-	static Rollout of(RolloutOrder order, double exposureShare, Supplier<RolloutJudge> judge) {
-		return new Rollout(order, exposureShare, judge.get());
+	static Rollout of(RolloutOrder order, double exposureShare, Supplier<RolloutEvaluator> evaluator) {
+		return new Rollout(order, exposureShare, evaluator.get());
 	}
 
 	// -- changes
 
 	/**
-	 * The holder of the duties says how far the roll-out is.
-	 * @param next the phase
-	 * @param nowNanos the time
-	 * @return whether it is another one than before
+	 * Applies an announcement of the phase by the gateway that holds the duty lease. An
+	 * earlier phase is ignored.
+	 * @param next the announced phase
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return whether the phase changed
 	 */
 	public boolean said(Phase next, long nowNanos) {
 		if (next == this.phase || this.phase.leadsTo(next)) {
-			this.wordNanos = OptionalLong.of(nowNanos);
+			this.announcedNanos = OptionalLong.of(nowNanos);
 		}
 		boolean changed = this.phase.leadsTo(next);
 		this.phase = changed ? next : this.phase;
@@ -86,63 +88,66 @@
 	}
 
 	/**
-	 * A call of this process ended, or its first token came.
-	 * @param route its route
-	 * @param fresh whether the new version had it
-	 * @param bad whether it failed or was slow
+	 * Counts a call of this process that has ended or received its first token.
+	 * @param route the route of the call
+	 * @param candidate whether the candidate version served the call
+	 * @param failing whether the call failed or was slow
 	 */
-	public void ended(String route, boolean fresh, boolean bad) {
-		this.own.merge(route, Tally.NONE.with(fresh, bad), (before, _) -> before.with(fresh, bad));
+	public void ended(String route, boolean candidate, boolean failing) {
+		this.own.merge(route, Tally.NONE.plus(candidate, failing), (before, _) -> before.plus(candidate, failing));
 	}
 
 	/**
-	 * Takes what a process has counted since it saw the order, this one included.
+	 * Applies the calls that a process has counted since it received the order; also used
+	 * for this process's own calls.
 	 * @param process the start of the process
-	 * @param totals its counts by route
-	 * @param nowNanos the time
+	 * @param totals the tallies by route
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void counted(String process, Map<String, Tally> totals, long nowNanos) {
-		Map<String, Tally> before = this.told.getOrDefault(process, Map.of());
-		totals.forEach((route, total) -> this.judge.observe(route, total.since(before.getOrDefault(route, Tally.NONE)),
-				nowNanos));
-		this.told.put(process, Map.copyOf(totals));
+		Map<String, Tally> before = this.reported.getOrDefault(process, Map.of());
+		totals.forEach((route, total) -> this.evaluator.observe(route,
+				total.minus(before.getOrDefault(route, Tally.NONE)), nowNanos));
+		this.reported.put(process, Map.copyOf(totals));
 	}
 
 	// -- queries
 
 	/**
-	 * Which versions a call may go to.
+	 * Returns the rules by which a server is chosen for a call.
 	 * @param servers all servers of the service
-	 * @param again whether the call was sent before
+	 * @param isRetry whether the call is a retry
 	 * @param draw a random number from 0 to 1
-	 * @param nowNanos the time
-	 * @return the rules in the order in which they are tried
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the rules, in the order in which they are tried
 	 */
-	public List<Versions> versions(Collection<BackendServer> servers, boolean again, double draw, long nowNanos) {
-		List<BackendServer> fresh = servers.stream().filter(this::isFresh).toList();
-		if (fresh.isEmpty() || fresh.size() == servers.size()) {
+	public List<Versions> versions(Collection<BackendServer> servers, boolean isRetry, double draw, long nowNanos) {
+		List<BackendServer> candidate = servers.stream().filter(this::isFresh).toList();
+		if (candidate.isEmpty() || candidate.size() == servers.size()) {
 			return List.of(Versions.any());
 		}
-		Versions back = Versions.without(this.order.to());
+		Versions fallback = Versions.without(this.order.to());
 		return switch (this.phase) {
-			case SUCCEEDED -> List.of(Versions.only(this.order.to()), back);
-			case ROLLED_BACK -> List.of(back);
-			case MOVING -> mayUse(nowNanos) ? List.of(Versions.only(this.order.to()), back) : List.of(back);
-			case TRIAL -> (!again && draw < this.share && mayUse(nowNanos))
-					? List.of(Versions.trial(trialServers(fresh)), back) : List.of(back);
+			case SUCCEEDED -> List.of(Versions.only(this.order.to()), fallback);
+			case ROLLED_BACK -> List.of(fallback);
+			case MOVING ->
+				mayUseCandidate(nowNanos) ? List.of(Versions.only(this.order.to()), fallback) : List.of(fallback);
+			case TRIAL -> (!isRetry && draw < this.trialShare && mayUseCandidate(nowNanos))
+					? List.of(Versions.trial(trialServers(candidate)), fallback) : List.of(fallback);
 		};
 	}
 
-	private boolean mayUse(long nowNanos) {
-		boolean said = this.wordNanos.isPresent() && nowNanos - this.wordNanos.getAsLong() < WORD_NANOS;
-		return said && verdict() != Verdict.BAD;
+	private boolean mayUseCandidate(long nowNanos) {
+		boolean announced = this.announcedNanos.isPresent()
+				&& nowNanos - this.announcedNanos.getAsLong() < ANNOUNCEMENT_TIMEOUT_NANOS;
+		return announced && verdict() != Verdict.BAD;
 	}
 
-	// As many of the servers as their part of the calls is, so that each has the load
-	// that it will have: what fails under load only, fails there too.
-	private Set<String> trialServers(List<BackendServer> fresh) {
-		long count = Math.max(1, Math.round(fresh.size() * this.share));
-		return fresh.stream()
+	// Uses the same share of the candidate servers as of the calls, so that each of them
+	// runs at its later load and faults that occur only under load are detected.
+	private Set<String> trialServers(List<BackendServer> candidate) {
+		long count = Math.max(1, Math.round(candidate.size() * this.trialShare));
+		return candidate.stream()
 			.filter((server) -> !server.leaving())
 			.map(BackendServer::id)
 			.sorted(Comparator.naturalOrder())
@@ -151,41 +156,42 @@
 	}
 
 	/**
-	 * Whether a server is of the new version.
+	 * Returns whether a server runs the candidate version.
 	 * @param server the server
-	 * @return true when it is
+	 * @return true if it runs the candidate version
 	 */
 	public boolean isFresh(BackendServer server) {
 		return server.version().equals(this.order.to());
 	}
 
 	/**
-	 * Whether a server has a part in what the service can serve now.
+	 * Returns whether a server counts towards the current capacity of the service.
 	 * @param server the server
-	 * @return false for one of the version that has not got the service
+	 * @return true for servers of the candidate version once the calls move to it, and
+	 * for servers of other versions before that or after a rollback
 	 */
 	public boolean counts(BackendServer server) {
 		return isFresh(server) == (this.phase == Phase.SUCCEEDED || this.phase == Phase.MOVING);
 	}
 
 	/**
-	 * What calls say of the new version.
+	 * Returns the verdict on the candidate version.
 	 * @return the verdict
 	 */
 	public Verdict verdict() {
-		return this.judge.verdict();
+		return this.evaluator.verdict();
 	}
 
 	/**
-	 * The calls of this process, by route.
-	 * @return the counts
+	 * Returns the calls that this process has counted.
+	 * @return the tallies by route
 	 */
 	public Map<String, Tally> own() {
 		return Map.copyOf(this.own);
 	}
 
 	/**
-	 * The order.
+	 * Returns the order of this roll-out.
 	 * @return the order
 	 */
 	public RolloutOrder order() {
@@ -193,7 +199,7 @@
 	}
 
 	/**
-	 * How far the roll-out is, as far as this process knows.
+	 * Returns the latest phase that was announced to this process.
 	 * @return the phase
 	 */
 	public Phase phase() {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutPlan.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutPlan.java
@@ -2,36 +2,46 @@
 
 import java.util.Optional;
 
-import org.rosemaryfront.rollout.RolloutJudge.Verdict;
+import org.rosemaryfront.rollout.RolloutEvaluator.Verdict;
 
 /**
- * Decides how far a roll-out goes, for the holder of the duties.
+ * Decides when a roll-out changes to another phase. Used by the gateway that holds the
+ * duty lease.
  */
 public final class RolloutPlan {
 
-	/** How long before the end of its time calls begin to move, in milliseconds. */
-	private static final long MOVE_MILLIS = 4_000;
+	/**
+	 * The maximum time before the end of the roll-out at which calls start to move, in
+	 * milliseconds.
+	 */
+	private static final long MAX_MOVE_MILLIS = 4_000;
 
-	/** The part of its time that the move takes at most. */
-	private static final int MOVE_PARTS = 3;
+	/** Calls start to move in the last third of the roll-out at the earliest. */
+	private static final int MOVE_DIVISOR = 3;
 
-	/** How long before the end it is decided at the latest, in milliseconds. */
-	private static final long DECIDE_MILLIS = 800;
+	/**
+	 * The time before the end at which the roll-out is completed at the latest, in
+	 * milliseconds.
+	 */
+	private static final long COMPLETION_MARGIN_MILLIS = 800;
 
-	/** The least part of the old servers' number with which the new version can serve. */
-	private static final double LEAST_SERVERS = 0.6;
+	/**
+	 * The minimum ratio of candidate to baseline servers at which the candidate version
+	 * can serve all calls.
+	 */
+	private static final double MIN_SERVER_RATIO = 0.6;
 
 	private RolloutPlan() {
 	}
 
 	/**
-	 * The next phase.
+	 * Returns the phase to which a roll-out changes next.
 	 * @param order the order
-	 * @param phase the phase now
-	 * @param verdict what calls say of the new version
+	 * @param phase the current phase
+	 * @param verdict the verdict on the candidate version
 	 * @param sinceOrderMillis the time since the order, in milliseconds
 	 * @param servers the servers of the service
-	 * @return the phase to go to, empty to stay
+	 * @return the next phase, empty if the phase does not change
 	 */
 	public static Optional<Phase> next(RolloutOrder order, Phase phase, Verdict verdict, long sinceOrderMillis,
 			Servers servers) {
@@ -41,46 +51,49 @@
 		if (verdict == Verdict.BAD) {
 			return Optional.of(Phase.ROLLED_BACK);
 		}
-		long left = order.durationMillis() - sinceOrderMillis;
-		return (phase == Phase.TRIAL) ? fromTrial(order, verdict, left, servers) : fromMoving(left, servers);
+		long remainingMillis = order.durationMillis() - sinceOrderMillis;
+		return (phase == Phase.TRIAL) ? fromTrial(order, verdict, remainingMillis, servers)
+				: fromMoving(remainingMillis, servers);
 	}
 
-	private static Optional<Phase> fromTrial(RolloutOrder order, Verdict verdict, long leftMillis, Servers servers) {
-		if (servers.isMoved()) {
+	private static Optional<Phase> fromTrial(RolloutOrder order, Verdict verdict, long remainingMillis,
+			Servers servers) {
+		if (servers.hasOnlyCandidates()) {
 			return Optional.of(Phase.SUCCEEDED);
 		}
-		if (leftMillis <= DECIDE_MILLIS) {
+		if (remainingMillis <= COMPLETION_MARGIN_MILLIS) {
 			return Optional.of(Phase.ROLLED_BACK);
 		}
-		boolean due = leftMillis <= Math.min(MOVE_MILLIS, order.durationMillis() / MOVE_PARTS);
-		return (due && verdict == Verdict.GOOD && servers.canServe()) ? Optional.of(Phase.MOVING) : Optional.empty();
+		boolean due = remainingMillis <= Math.min(MAX_MOVE_MILLIS, order.durationMillis() / MOVE_DIVISOR);
+		return (due && verdict == Verdict.GOOD && servers.hasEnoughCandidates()) ? Optional.of(Phase.MOVING)
+				: Optional.empty();
 	}
 
-	// The old servers stop at once when it has succeeded: what they still run would be
-	// cut.
-	private static Optional<Phase> fromMoving(long leftMillis, Servers servers) {
+	// Baseline servers stop immediately once the roll-out has succeeded, which would
+	// abort the calls that they still run.
+	private static Optional<Phase> fromMoving(long remainingMillis, Servers servers) {
 		if (servers.fresh() == 0) {
 			return Optional.of(Phase.ROLLED_BACK);
 		}
-		return (servers.oldCalls() == 0 || leftMillis <= DECIDE_MILLIS) ? Optional.of(Phase.SUCCEEDED)
+		return (servers.oldCalls() == 0 || remainingMillis <= COMPLETION_MARGIN_MILLIS) ? Optional.of(Phase.SUCCEEDED)
 				: Optional.empty();
 	}
 
 	/**
-	 * The servers of a service that do not leave.
+	 * The numbers of a service's servers that are not leaving, and of their calls.
 	 *
-	 * @param fresh those of the new version
-	 * @param old those of other versions
-	 * @param oldCalls the calls that run at servers of other versions
+	 * @param fresh the number of servers of the candidate version
+	 * @param old the number of servers of other versions
+	 * @param oldCalls the number of calls that run on servers of other versions
 	 */
 	public record Servers(int fresh, int old, int oldCalls) {
 
-		private boolean isMoved() {
+		private boolean hasOnlyCandidates() {
 			return this.old == 0 && this.fresh > 0;
 		}
 
-		private boolean canServe() {
-			return this.fresh > 0 && this.fresh >= LEAST_SERVERS * this.old;
+		private boolean hasEnoughCandidates() {
+			return this.fresh > 0 && this.fresh >= MIN_SERVER_RATIO * this.old;
 		}
 
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/lease/LeaseMachineTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/lease/LeaseMachineTests.java
@@ -18,11 +18,11 @@
 
 	private final LeaseMachine lease = LeaseMachine.of("vm-1", TERMS, 1);
 
-	// -- taking over
+	// -- acquisition
 
 	@Test
-	void shouldTakeOverAtOnceWhenThereIsNoRow() {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldAcquireImmediatelyWhenThereIsNoRow() {
+		LeaseCommand.Write write = acquire(0);
 		assertThat(write.takeOver()).isTrue();
 		assertThat(write.row().fence()).isEqualTo(1);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), 5 * MILLI);
@@ -30,11 +30,11 @@
 		assertThat(this.lease.fence()).isEqualTo(1);
 	}
 
-	// Two controllers order at a time when a successor compares the row with its wall
-	// clock or counts from its own start; it must wait a full term of the holder's from
-	// the moment it saw the row change.
+	// If a successor compares the row with its wall clock, or counts from its own start,
+	// two controllers send orders at the same time. It must wait for a full term of the
+	// holder after it saw the row change.
 	@Test
-	void shouldWaitHoldersTermWhenRowIsHeld() {
+	void shouldWaitForTermOfHolderWhenRowIsHeld() {
 		read(0, Optional.of(new LeaseRow("vm-2", 7, 20_000, "x")), 3);
 		assertThat(writes(19_999 * MILLI)).isEmpty();
 		List<LeaseCommand.Write> writes = writes(20_000 * MILLI);
@@ -52,16 +52,15 @@
 	}
 
 	@Test
-	void shouldTakeOverAtOnceWhenHolderGaveItBack() {
+	void shouldAcquireImmediatelyWhenHolderReleased() {
 		read(0, Optional.of(new LeaseRow("", 7, 10_000, "x")), 3);
 		assertThat(writes(1)).hasSize(1);
 	}
 
-	// A hundred processes that wait for the lease each read its row again and again,
-	// while
-	// its holder could tell them.
+	// A hundred processes without the lease would each poll its row, although the holder
+	// announces itself to them.
 	@Test
-	void shouldNotReadWhileHolderSaysThatItHolds() {
+	void shouldNotReadWhenHolderAnnouncesItself() {
 		read(0, Optional.of(new LeaseRow("vm-2", 7, 10_000, "x")), 3);
 		for (long millis = 0; millis < 60_000; millis += 250) {
 			this.lease.heldElsewhere(millis * MILLI);
@@ -70,7 +69,7 @@
 	}
 
 	@Test
-	void shouldReadAndTakeOverOnceHolderIsNotHeardAnyMore() {
+	void shouldReadWhenAnnouncementOfHolderExpired() {
 		read(0, Optional.of(new LeaseRow("vm-2", 7, 10_000, "x")), 3);
 		this.lease.heldElsewhere(20_000 * MILLI);
 		assertThat(this.lease.tick(20_900 * MILLI)).isEmpty();
@@ -79,30 +78,30 @@
 
 	// -- holding
 
-	// A holder was paused; its streams are gone and a successor acts. Its first act after
-	// the pause must not be an order.
+	// After a process pause the holder's streams are closed and a successor is active.
+	// The former holder must not send an order when it resumes.
 	@Test
-	void shouldNotOrderWhenPausedPastTheTerm() {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldNotSendOrdersWhenPausedPastTerm() {
+		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), MILLI);
 		assertThat(this.lease.mayOrder(8_999 * MILLI)).isTrue();
 		assertThat(this.lease.mayOrder(9_000 * MILLI)).isFalse();
 	}
 
-	// The answer to the take-over came seconds late, and the term must count from before
-	// the question: others count from the write's effect.
+	// The response to the acquiring write is seconds late. The term must count from
+	// before the request, since other processes count from when the write took effect.
 	@Test
-	void shouldCountTermFromBeforeAskingWhenAnswerIsLate() {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldCountTermFromBeforeRequestWhenResponseIsLate() {
+		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), 2_000 * MILLI);
 		assertThat(this.lease.remainingNanos(2_000 * MILLI)).isEqualTo(7_000 * MILLI);
 	}
 
-	// The answer is lost after the write took effect. The row's token tells the holder
-	// that it is its own, and the term still counts from before the question.
+	// The response is lost after the write took effect. The holder recognises its own
+	// write by the token of the row, and the term still counts from before the request.
 	@Test
-	void shouldResolveLostAnswerByItsOwnToken() {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldRecogniseOwnWriteWhenResponseIsLost() {
+		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteUnknown(write.row().token()), 1_000 * MILLI);
 		assertThat(this.lease.mayOrder(1_000 * MILLI)).isFalse();
 		read(1_500 * MILLI, Optional.of(write.row()), 1);
@@ -110,8 +109,8 @@
 	}
 
 	@Test
-	void shouldStopWhenStorageIsDownToTheTermsEnd() {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldStopAtEndOfTermWhenStoreIsUnavailable() {
+		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), MILLI);
 		for (long now = 2; now < 12_000; now += 100) {
 			for (LeaseCommand command : this.lease.tick(now * MILLI)) {
@@ -126,55 +125,55 @@
 
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2 })
-	void shouldStopAtOnceWhenAnotherHolderIsSeen(long fence) {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldStopImmediatelyWhenAnotherHolderIsObserved(long fence) {
+		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), MILLI);
 		read(4_000 * MILLI, Optional.of(new LeaseRow("vm-2", fence, 10_000, "x")), 2);
 		assertThat(this.lease.mayOrder(4_000 * MILLI)).isFalse();
 	}
 
-	// A read that was given up answers late and shows the row of long ago: the process
-	// would count the row as changed, or its own lease as lost.
+	// The response to a read that timed out arrives late, with an outdated row: the
+	// process would treat the row as changed, or its own lease as lost.
 	@Test
-	void shouldIgnoreAnswerOfAnEarlierRead() {
+	void shouldIgnoreResponseWhenReadIsNotInFlight() {
 		read(0, Optional.of(new LeaseRow("vm-2", 7, 10_000, "x")), 3);
 		this.lease.accept(new LeaseEvent.RowRead(1, Optional.empty(), 0), 5_000 * MILLI);
 		assertThat(writes(5_001 * MILLI)).isEmpty();
 	}
 
-	// On a VM that has just booted no process ever takes the lease, so that nobody buys
-	// or
-	// orders: the monotonic clock starts anywhere, and a first read planned for "time 0"
-	// lies minutes ahead of a negative clock and half a turn away from one that wraps.
+	// A monotonic clock may start at any value. A first read scheduled for time 0 is
+	// minutes ahead of a negative clock, and half the value range away from a clock that
+	// wraps around: on a VM that has just booted, no process would acquire the lease, so
+	// that no VMs would be bought and no orders sent.
 	@ParameterizedTest
 	@ValueSource(longs = { -600_000 * MILLI, -1, 0, 1, Long.MAX_VALUE - 3 * MILLI, Long.MIN_VALUE })
-	void shouldTakeHoldAndLapseWhereverTheClockStarts(long start) {
-		LeaseCommand.Write write = takeOver(start);
+	void shouldAcquireAndExpireWhereverClockStarts(long start) {
+		LeaseCommand.Write write = acquire(start);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), start + 5 * MILLI);
 		assertThat(this.lease.mayOrder(start + 8_999 * MILLI)).isTrue();
 		assertThat(this.lease.mayOrder(start + 9_000 * MILLI)).isFalse();
 		assertThat(writes(start + 9_000 * MILLI)).hasSize(1);
 	}
 
-	// -- giving back
+	// -- release
 
 	@Test
-	void shouldGiveBackOnceAndOrderNoMore() {
-		LeaseCommand.Write write = takeOver(0);
+	void shouldReleaseOnceAndSendNoMoreOrders() {
+		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), MILLI);
 		this.lease.release(2 * MILLI);
 		assertThat(this.lease.mayOrder(2 * MILLI)).isFalse();
-		LeaseCommand.Write back = writes(2 * MILLI).getFirst();
-		assertThat(back.row().isReleased()).isTrue();
-		assertThat(back.row().fence()).isEqualTo(1);
-		this.lease.accept(new LeaseEvent.WriteCommitted(back.row().token(), 2), 3 * MILLI);
+		LeaseCommand.Write release = writes(2 * MILLI).getFirst();
+		assertThat(release.row().isReleased()).isTrue();
+		assertThat(release.row().fence()).isEqualTo(1);
+		this.lease.accept(new LeaseEvent.WriteCommitted(release.row().token(), 2), 3 * MILLI);
 		assertThat(this.lease.isReleased()).isTrue();
 		assertThat(writes(20_000 * MILLI)).isEmpty();
 	}
 
 	// -- helpers
 
-	private LeaseCommand.Write takeOver(long now) {
+	private LeaseCommand.Write acquire(long now) {
 		read(now, Optional.empty(), 0);
 		return writes(now).getFirst();
 	}
