--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayProcess.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayProcess.java
@@ -44,8 +44,8 @@
 import org.rosemaryfront.traffic.TrafficMetrics;
 
 /**
- * The process before the backend servers: all sockets on one thread, decisions on
- * another, and the platform's rows, the other gateways and the duties behind them.
+ * The gateway process: all sockets on one thread and all decisions on another, together
+ * with the tables of the platform, the reports between gateways and the singleton duties.
  *
  * <pre>
  * try (GatewayProcess gateway = GatewayProcess.start(settings, platform)) {
@@ -55,32 +55,43 @@
  */
 public final class GatewayProcess implements Program.Running {
 
-	/** The longest time between two looks of the control thread at its tables. */
+	/** The maximum interval between ticks of the control thread. */
 	private static final Duration TICK = Duration.ofMillis(50);
 
-	/** The least time between two reports when others wait for one, in nanoseconds. */
+	/**
+	 * The minimum interval between reports while other gateways wait for one, in
+	 * nanoseconds.
+	 */
 	private static final long TELL_SOON_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-	/** The time between two looks at the duties, in nanoseconds. */
+	/** The interval between runs of the duties, in nanoseconds. */
 	private static final long DUTIES_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-	/** Reports that may wait to be taken; more than a second's of a thousand gateways. */
+	/**
+	 * The maximum number of queued reports; more than a thousand gateways send in a
+	 * second.
+	 */
 	private static final int MOST_WAITING = 4_096;
 
-	/** What is kept of the stop's time to close and exit, in milliseconds. */
+	/**
+	 * The part of the drain time that is reserved for closing and exiting, in
+	 * milliseconds.
+	 */
 	private static final long EXIT_MILLIS = 400;
 
-	/** The time between two looks at what is left while stopping, in milliseconds. */
+	/**
+	 * The interval between checks for remaining work while stopping, in milliseconds.
+	 */
 	private static final long STOP_LOOK_MILLIS = 50;
 
 	private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
-	/** Heartbeats that a server misses until its registration lapses. */
+	/** The number of missed heartbeats after which a server's registration expires. */
 	private static final int REGISTRATION_HEARTBEATS = 3;
 
 	/**
-	 * What gateways write of themselves they also tell in their reports: so many times
-	 * longer may pass until it is asked for.
+	 * The factor by which the freshness limits are relaxed for tables that gateways write
+	 * themselves, since their content is also part of the reports between gateways.
 	 */
 	private static final int OWN_TABLES_LATER = 4;
 
@@ -96,7 +107,7 @@
 
 	private final Fleet fleet = new Fleet(this.start);
 
-	/** How quotas were shared when the log last told it. */
+	/** The sharing of quotas that was last logged. */
 	private Sharing toldSharing = Sharing.UNKNOWN;
 
 	private final UsageLedger usage;
@@ -135,7 +146,7 @@
 
 	private final GatewayDirectory directory;
 
-	/** Whether all parts are there, so that the control thread may use them. */
+	/** Whether all fields are initialised, so that the control thread may use them. */
 	private volatile boolean started;
 
 	private long toldNanos = System.nanoTime() - TELL_SOON_NANOS;
@@ -143,7 +154,9 @@
 	/** Whether another gateway waits for a report of this one. */
 	private boolean awaited;
 
-	/** Reports of other gateways that were not taken yet, in the order they came. */
+	/**
+	 * Reports of other gateways that were not processed yet, in the order of arrival.
+	 */
 	private final LinkedBlockingQueue<PeerExchange.Heard> heard = new LinkedBlockingQueue<>();
 
 	private long nextDutiesNanos = System.nanoTime();
@@ -160,7 +173,10 @@
 
 	private final SharedTables tables;
 
-	/** Where other gateways serve their tables; written by the control thread. */
+	/**
+	 * The addresses at which other gateways serve their tables; written by the control
+	 * thread.
+	 */
 	private volatile List<InetSocketAddress> tableAddresses = List.of();
 
 	private GatewayProcess(GatewaySettings settings, Platform platform, LoopResources loops) {
@@ -207,7 +223,7 @@
 		this.metrics.gauge("servers.proven.millis", () -> provenMillis(this.serversTable));
 		this.metrics.gauge("configuration.proven.millis", () -> provenMillis(this.configurationTable));
 		this.metrics.gauge("requests.held", this.crashes::heldCount);
-		// Last: from here on it is asked about all other parts.
+		// Opened last, because its requests use all other components.
 		this.admin = AdminServer.open(loops, settings, this::isReady, this.metrics.registry(),
 				Map.of(platform.records().configuration().table(), this.configurationTable,
 						platform.records().servers(), this.serversTable, GatewayDirectory.TABLE, this.gatewaysTable,
@@ -215,21 +231,18 @@
 				new OperatorsView());
 	}
 
-	// A registration lapses with the third heartbeat that is missed, the first of which
-	// may
-	// have been due right behind the last proof.
+	// A registration expires with the third missed heartbeat, the first of which may have
+	// been due immediately after the last freshness confirmation.
 	private static FollowedTable table(GatewaySettings settings) {
 		long outageNanos = (REGISTRATION_HEARTBEATS - 1) * settings.bounds().heartbeatMillis() * NANOS_PER_MILLI;
 		return new FollowedTable(Freshness.unproven(outageNanos));
 	}
 
-	// -- factories
-
 	/**
 	 * Starts a gateway.
-	 * @param settings what the machine tells
-	 * @param platform what the platform offers
-	 * @param loops the one thread of all sockets
+	 * @param settings the settings of this process
+	 * @param platform the interfaces of the platform
+	 * @param loops the event loop of all sockets
 	 * @return the running gateway
 	 */
 	public static GatewayProcess start(GatewaySettings settings, Platform platform, LoopResources loops) {
@@ -245,22 +258,21 @@
 		return Map.of("callers", this.settings.callers().toString(), "metrics", this.settings.metrics().toString());
 	}
 
-	// Itself and the gateways whose tables it may read.
+	// Counts this gateway and the live gateways whose tables it may read.
 	int living() {
 		return 1 + this.tableAddresses.size();
 	}
 
-	// Whether a backend server is known.
 	boolean knows(String server) {
 		return askControl(() -> this.servers.find(server).isPresent());
 	}
 
-	// Whether it reads the tables of the store itself.
+	// Returns whether this gateway reads the tables from the store itself.
 	boolean readsTables() {
 		return askControl(() -> this.tables.role().reads());
 	}
 
-	// What was learned of the servers of a service.
+	// Returns the coefficients of a service's latency model that were learned from calls.
 	List<Double> learned(String service) {
 		return askControl(() -> this.decisions.dispatcher().model(service).learned());
 	}
@@ -284,7 +296,7 @@
 		return this.news.isComplete() && this.directory.isKnown() && this.crashes.isKnown() && !this.stopping;
 	}
 
-	// -- news of the platform
+	// -- changes from the platform
 
 	private void follow() {
 		FreshnessLimits soon = FreshnessLimits.within(this.settings.bounds().changeMillis());
@@ -295,7 +307,7 @@
 		this.tables.follow(GatewayDirectory.TABLE, this.gatewaysTable, later, this.directory);
 		this.tables.follow(CrashRows.TABLE, this.crashesTable, later, this.crashes.listener());
 		this.directory.announce();
-		// Building the parts was no pause of the process.
+		// The time that construction took must not count as a pause of the process.
 		this.pauses.look(System.nanoTime(), System.currentTimeMillis());
 		this.started = true;
 	}
@@ -311,8 +323,9 @@
 		this.control.post((_) -> task.run());
 	}
 
-	// Most reports wait for the next tick: with a hundred gateways each would wake the
-	// thread by itself.
+	// Most reports wait for the next tick: with a hundred gateways, waking the control
+	// thread for each of them would be expensive. Reports of crashes are processed
+	// immediately.
 	private void heard(PeerExchange.Heard heard) {
 		if (!this.started) {
 			return;
@@ -334,7 +347,7 @@
 		}
 	}
 
-	// What is decided now rests on what was told up to now.
+	// Decisions must include all reports that were received before them.
 	private void catchUp(long now) {
 		notePause(now);
 		takeHeard(now);
@@ -383,8 +396,8 @@
 			case Finding.Suspended suspended -> {
 				EventLog.warn(GatewayEvents.PAUSED, "millis", suspended.millis(), "monotonicMillis",
 						suspended.monotonicMillis());
-				// Another process holds the lease by now, and what the others told is
-				// old.
+				// Another process may hold the lease by now, and received reports are out
+				// of date.
 				this.lease.fenced();
 				this.fleet.forgetConfirmations();
 				this.tables.paused(now);
@@ -430,7 +443,7 @@
 		}
 	}
 
-	// -- the end
+	// -- shutdown
 
 	@Override
 	public void close() {
@@ -440,7 +453,8 @@
 		StopTimes times = StopTimes.of(begun, this.settings.bounds().balancerMillis(), most);
 		this.decisions.stop(times);
 		this.gateway.closeIdle();
-		// It does not act any more: a successor need not wait for the last calls.
+		// This process no longer acts as the holder, so a successor does not have to wait
+		// until the last calls have ended.
 		this.control.post(this.lease::release);
 		boolean left = false;
 		boolean counted = false;
@@ -456,7 +470,8 @@
 					break;
 				}
 				if (idle && !counted) {
-					// A call taken from now on would be cut by the end of the process.
+					// A call accepted from now on would be cut off when the process
+					// exits.
 					this.decisions.stop(times.endingAt(System.nanoTime()));
 					counted = true;
 					writeCounts();
@@ -476,7 +491,7 @@
 		this.loops.dispose();
 	}
 
-	// Hands over what is known so far, while calls still end.
+	// Hands over the counts so far while the last calls are still running.
 	private void leave() {
 		writeCounts();
 		this.control.post((now) -> this.reports.tell(true, now));
@@ -499,7 +514,7 @@
 		}
 	}
 
-	/** Connects what is known of crashes with calls, connections and metrics. */
+	/** Connects the crash records with calls, connections and metrics. */
 	private final class CrashHooks implements CrashRecords.Hooks {
 
 		@Override
@@ -519,7 +534,7 @@
 
 	}
 
-	/** Shows an operator what is held back, and releases it. */
+	/** Lists quarantined requests for an operator, and releases them. */
 	private final class OperatorsView implements AdminServer.HeldRequests {
 
 		@Override
@@ -535,12 +550,12 @@
 	}
 
 	/**
-	 * What the platform offers.
+	 * The interfaces of the platform.
 	 *
-	 * @param calls the headers of calls
+	 * @param calls the codec of call headers
 	 * @param rows the table service
-	 * @param records the rows that others write
-	 * @param duties the calls that one process at a time may make
+	 * @param records the codec of rows that other programs write
+	 * @param duties the requests that only the holder of the duties may send
 	 */
 	public record Platform(CallCodec calls, RowStore rows, RecordCodec records, Duties duties) {
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewaySettings.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewaySettings.java
@@ -5,17 +5,17 @@
 import java.util.Objects;
 
 /**
- * What a gateway process is told by the machine that it runs on.
+ * The settings of a gateway process, supplied by the machine that it runs on.
  *
  * @param name the name of this process's VM
  * @param zone its availability zone
  * @param zones all availability zones
- * @param callers where callers connect
- * @param readiness where the balancer asks whether callers may come
- * @param readinessPath the path of that question
- * @param metrics where metrics are served
- * @param peers where datagrams of other gateways arrive
- * @param bounds the times and shares that its users count on
+ * @param callers the address that accepts callers' connections
+ * @param readiness the address of the load balancer's readiness probe
+ * @param readinessPath the path of that probe
+ * @param metrics the address that serves metrics
+ * @param peers the address that receives datagrams of other gateways
+ * @param bounds the time limits and shares that users rely on
  */
 public record GatewaySettings(String name, String zone, List<String> zones, InetSocketAddress callers,
 		InetSocketAddress readiness, String readinessPath, InetSocketAddress metrics, InetSocketAddress peers,
@@ -27,25 +27,26 @@
 	}
 
 	/**
-	 * The bounds.
+	 * The limits that users rely on.
 	 *
 	 * @param drainMillis the time from a stop signal to the kill, in milliseconds
-	 * @param balancerMillis how long callers may still come after the stop signal: the
-	 * balancer takes a process out after some misses of its question, in milliseconds
-	 * @param retryShare the calls that may be sent again, as a share of all
-	 * @param retryFixed the calls that may be sent again beside the share, in a window,
-	 * by all processes together
-	 * @param retryWindowMillis that window, in milliseconds
+	 * @param balancerMillis how long callers may still connect after the stop signal, in
+	 * milliseconds: the load balancer removes a process only after several failed
+	 * readiness probes
+	 * @param retryShare the maximum ratio of retried calls to all calls
+	 * @param retryFixed the number of retries per window that are allowed in addition to
+	 * that share, for all processes together
+	 * @param retryWindowMillis the window of retries, in milliseconds
 	 * @param quotaWindowMillis the window of quotas, in milliseconds
-	 * @param quotaSlack what an organisation may use beside its quota in a window, in
+	 * @param quotaSlack how much an organisation may use above its quota in a window, in
 	 * units
 	 * @param usageWindowMillis the window of usage reports, in milliseconds
-	 * @param changeMillis within which a server that leaves gets no more calls, and a new
-	 * configuration is in force, in milliseconds
-	 * @param heartbeatMillis the time between two heartbeats of a server's registration,
+	 * @param changeMillis the maximum time until a leaving server receives no more calls
+	 * and a new configuration is in force, in milliseconds
+	 * @param heartbeatMillis the interval between heartbeats of a server's registration,
 	 * in milliseconds
-	 * @param exposureShare the part of a service's calls that a bad version of its
-	 * servers may get
+	 * @param exposureShare the maximum share of a service's calls that may go to a
+	 * failing version of its servers
 	 */
 	public record Bounds(long drainMillis, long balancerMillis, double retryShare, double retryFixed,
 			long retryWindowMillis, long quotaWindowMillis, double quotaSlack, long usageWindowMillis,
