--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayEvents.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayEvents.java
@@ -2,55 +2,70 @@
 
 import org.rosemaryfront.events.EventCode;
 
-/** Events of what a gateway believes and of its duties. */
+/** Events about the state a gateway holds and about its duties. */
 public enum GatewayEvents implements EventCode {
 
 	/** A configuration came into force. */
 	CONFIGURATION_IN_FORCE(2801),
 
-	/** A configuration was not taken. */
+	/** A configuration was rejected. */
 	CONFIGURATION_REJECTED(2802),
 
-	/** A backend server registered itself or changed its registration. */
+	/** A backend server registered or changed its registration. */
 	SERVER_REGISTERED(2803),
 
-	/** The registration of a backend server ended. */
+	/** The registration of a backend server was removed. */
 	SERVER_LAPSED(2804),
 
-	/** A backend server gets no more calls. */
+	/** A backend server was dropped and receives no more calls. */
 	SERVER_DROPPED(2805),
 
-	/** The registration of a backend server cannot be read. */
+	/** The registration of a backend server cannot be decoded. */
 	SERVER_UNREADABLE(2806),
 
-	/** A registration that is older than the one known was passed over. */
+	/** A registration older than the current one was ignored. */
 	SERVER_OUTDATED(2807),
 
-	/** The platform's table service does not answer. */
+	/** The platform's table service does not respond. */
 	STORE_LOST(2810),
 
-	/** The platform's table service answers again. */
+	/** The platform's table service responds again. */
 	STORE_REGAINED(2811),
 
-	/** A table is read as a whole, since its changes are no longer kept. */
+	/**
+	 * A table is read in full, because the store no longer retains the changes since the
+	 * last read.
+	 */
 	TABLE_READ_ANEW(2812),
 
-	/** A table came from another gateway, since the store does not answer here. */
+	/**
+	 * A table was read from another gateway, because the store does not respond to this
+	 * one.
+	 */
 	TABLE_FROM_PEER(2814),
 
-	/** Another gateway did not answer the question for a table. */
+	/** Another gateway did not respond to the request for a table. */
 	PEER_CALL_FAILED(2815),
 
-	/** Who reads the tables of the store for this gateway changed. */
+	/** The role of this gateway in reading the store's tables changed. */
 	TABLES_SHARED(2816),
 
-	/** Changes came by another way than the question that waits for them at the store. */
+	/**
+	 * Changes arrived by another path while the long poll for them at the store was
+	 * unanswered; the long poll is abandoned.
+	 */
 	FEED_LOST(2817),
 
-	/** An answer of the store was older than what is known, and proves nothing. */
+	/**
+	 * A response of the store was older than the local copy, so it does not confirm that
+	 * the copy is current.
+	 */
 	ANSWER_OUTDATED(2818),
 
-	/** A row of our own could not be written or read; it is tried again. */
+	/**
+	 * A row that gateways write could not be written, read or decoded. Failed calls are
+	 * retried; a row that cannot be decoded is ignored.
+	 */
 	ROW_CALL_FAILED(2813),
 
 	/** This process holds the duties. */
@@ -59,64 +74,70 @@
 	/** This process no longer holds the duties. */
 	DUTIES_LOST(2821),
 
-	/** The use of a window was reported. */
+	/** The usage of a window was reported. */
 	USAGE_REPORTED(2822),
 
-	/** The use of a window could not be reported; it is tried again. */
+	/** The usage of a window could not be reported; the report is retried. */
 	USAGE_NOT_REPORTED(2823),
 
-	/** The time for a report of a window is over. */
+	/** The usage report of a window was abandoned. */
 	USAGE_GIVEN_UP(2824),
 
 	/** The size of a service in an availability zone was ordered. */
 	SIZE_ORDERED(2825),
 
-	/** The size of a service could not be ordered. */
+	/** The order for the size of a service failed. */
 	SIZE_NOT_ORDERED(2826),
 
-	/** Counts of a window came from other gateways in place of rows of the store. */
+	/**
+	 * Counts of a window were taken from reports of other gateways, because their rows
+	 * are missing in the store.
+	 */
 	USAGE_FROM_PEERS(2827),
 
-	/** Another gateway was heard for the first time, or again. */
+	/**
+	 * A report of another gateway was received for the first time, or again after a
+	 * timeout.
+	 */
 	PEER_HEARD(2830),
 
-	/** Another gateway was not heard for a while. */
+	/** No report of another gateway was received within the timeout. */
 	PEER_SILENT(2831),
 
-	/** A datagram cannot be read. */
+	/** A datagram cannot be decoded. */
 	DATAGRAM_UNREADABLE(2832),
 
-	/** Quotas are shared with other gateways than before. */
+	/** The group of gateways that share the quotas changed. */
 	QUOTA_SHARING(2833),
 
-	/** A service is to be moved to another version of its servers. */
+	/** A roll-out of another version of a service's servers was ordered. */
 	ROLLOUT_ORDERED(2860),
 
-	/** A roll-out is in another phase. */
+	/** A roll-out entered another phase. */
 	ROLLOUT_PHASE(2861),
 
-	/** An order for a roll-out cannot be read. */
+	/** An order for a roll-out cannot be decoded. */
 	ROLLOUT_UNREADABLE(2862),
 
-	/** An order for a roll-out is gone. */
+	/** An order for a roll-out was withdrawn. */
 	ROLLOUT_WITHDRAWN(2863),
 
 	/** The state of a roll-out was written for the operator. */
 	ROLLOUT_STATE_WRITTEN(2864),
 
-	/** A backend server crashed while it had a request. */
+	/** A backend server crashed while it was handling a request. */
 	CRASHED_UNDER_REQUEST(2850),
 
-	/** A crash does not speak against a request any more. */
+	/** A crash is no longer attributed to a request. */
 	CRASH_CLEARED(2851),
 
-	/** A request is held back, since servers crashed under it. */
+	/** A request was quarantined, because servers crashed while handling it. */
 	REQUEST_HELD_BACK(2852),
 
-	/** A request is no longer held back. */
+	/** A request was released from quarantine. */
 	REQUEST_RELEASED(2853),
 
-	/** A request that is held back was to be sent once, on trial. */
+	/** A quarantined request was scheduled for a single probe execution. */
 	REQUEST_ON_TRIAL(2854),
 
 	/** This process was paused or its VM was suspended. */
