--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayDirectory.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayDirectory.java
@@ -15,9 +15,10 @@
 import org.rosemaryfront.program.ControlLoop;
 
 /**
- * The table of gateways: tells the others where this one is reached, and finds them.
- * Until it was read once nobody knows who shares quotas and connections: a process that
- * takes itself for the only gateway gives out the whole, and so does each of the others.
+ * Announces the address of this gateway in the table of gateways, and reads those of the
+ * others from it. Until the table has been read once, the gateways that share quotas and
+ * connections are unknown: a process that takes itself for the only gateway would grant
+ * the whole quota, and so would each of the others.
  */
 final class GatewayDirectory implements TableWatch.Listener {
 
@@ -40,13 +41,14 @@
 	private volatile boolean known;
 
 	/**
-	 * A directory that knows nobody yet.
+	 * Creates a directory that contains no other gateway yet.
 	 * @param rows the store
-	 * @param settings those of this gateway
-	 * @param peers told where others are reached
-	 * @param fleet told who may serve
-	 * @param control the thread of the two
-	 * @param read called there with the time once the whole table was read
+	 * @param settings the settings of this gateway
+	 * @param peers receives the addresses of other gateways
+	 * @param fleet receives the names of gateways that may be serving
+	 * @param control the thread that {@code peers} and {@code fleet} are used on
+	 * @param read called on that thread with the current time, in nanoseconds, each time
+	 * the whole table has been read
 	 */
 	GatewayDirectory(RowStore rows, GatewaySettings settings, PeerExchange peers, Fleet fleet, ControlLoop control,
 			LongConsumer read) {
@@ -58,7 +60,7 @@
 		this.read = read;
 	}
 
-	/** Writes where this gateway is reached, until the store has taken it. */
+	/** Writes the address of this gateway, retrying until the store has accepted it. */
 	void announce() {
 		String address = Addresses.format(this.settings.peers());
 		Commit row = Commit.put(TABLE, this.settings.name(), address.getBytes(StandardCharsets.UTF_8));
@@ -70,8 +72,8 @@
 	}
 
 	/**
-	 * Whether it is known which gateways there are.
-	 * @return true once the table was read
+	 * Returns whether the gateways are known.
+	 * @return true once the table has been read
 	 */
 	boolean isKnown() {
 		return this.known;
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayReports.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayReports.java
@@ -31,12 +31,12 @@
 import org.rosemaryfront.quota.QuotaTable.Use;
 
 /**
- * What gateways tell one another of their use of quotas and servers. Used on the control
- * thread.
+ * Sends and processes the reports by which gateways inform one another of their use of
+ * quotas and servers. Used on the control thread.
  */
 final class GatewayReports {
 
-	/** What changes slowly is in one report of so many. */
+	/** Slowly changing values are included in one of this many reports. */
 	private static final int REPORTS_PER_SPEEDS = 4;
 
 	private final PeerExchange peers;
@@ -67,7 +67,7 @@
 
 	private final int adminPort;
 
-	/** The prompt tokens that each start of another gateway last told. */
+	/** The prompt tokens last reported by each start of another gateway. */
 	private final Map<String, Long> othersReading = new HashMap<>();
 
 	private long othersReadingTotal;
@@ -92,9 +92,9 @@
 	}
 
 	/**
-	 * Tells the other gateways.
-	 * @param leaving whether this gateway will not be heard again
-	 * @param now the time
+	 * Sends a report to the other gateways.
+	 * @param leaving whether this is the last report of this gateway
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void tell(boolean leaving, long now) {
 		Window window = this.usage.current(System.currentTimeMillis());
@@ -156,9 +156,9 @@
 	}
 
 	/**
-	 * Takes the report of another gateway.
+	 * Processes the report of another gateway.
 	 * @param heard the report
-	 * @param now the time
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 * @return whether its sender waits for the next report of this gateway
 	 */
 	boolean heard(PeerExchange.Heard heard, long now) {
@@ -209,8 +209,8 @@
 	}
 
 	/**
-	 * Notes gateways that fell silent: what they had at servers is over.
-	 * @param now the time
+	 * Logs gateways whose reports timed out and removes their load from the servers.
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void noteSilent(long now) {
 		for (String gateway : this.fleet.fallenSilent(now)) {
@@ -245,8 +245,9 @@
 	}
 
 	/**
-	 * The prompt tokens that all gateways made servers read since this one started.
-	 * @return the tokens
+	 * Returns the prompt tokens that the servers prefilled for all gateways since this
+	 * gateway started.
+	 * @return the number of tokens
 	 */
 	double readingTokens() {
 		return this.decisions.readingTokens() + (double) this.othersReadingTotal;
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PeerExchange.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PeerExchange.java
@@ -25,18 +25,24 @@
 import org.rosemaryfront.peer.UdpSocket.Datagram;
 
 /**
- * Carries reports between this gateway and the others. Used on the control thread, but
- * for the socket.
+ * Exchanges reports with the other gateways. Used on the control thread, except that
+ * reports are received on the socket's event loop.
  */
 final class PeerExchange implements AutoCloseable {
 
-	/** The time between two readings of what the others told; no longer than a tick. */
+	/** The interval between reads of received reports; no longer than a tick. */
 	private static final Duration READ_PAUSE = Duration.ofMillis(50);
 
-	/** Gateways that were heard and do not live get one report of so many. */
+	/**
+	 * Gateways that have reported before but are not live are sent one of this many
+	 * reports.
+	 */
 	private static final int REPORTS_PER_KNOCK = 4;
 
-	/** Its multiples are spread evenly between whole numbers, however many there are. */
+	/**
+	 * The fractional parts of its multiples are spread evenly over the unit interval, for
+	 * any number of multiples.
+	 */
 	private static final double GOLDEN_SECTION = 0.618_033_988_749_895;
 
 	private static final byte[] NOTHING = {};
@@ -51,7 +57,7 @@
 
 	private int number;
 
-	/** The last report without what it confirms; empty before the first. */
+	/** The last report without its confirmation; empty before the first report. */
 	private byte[] last = NOTHING;
 
 	private PeerExchange(String self, int start, UdpSocket socket) {
@@ -62,11 +68,11 @@
 
 	/**
 	 * Opens the socket.
-	 * @param loop the thread of the socket
-	 * @param address where reports arrive
+	 * @param loop the event loop of the socket
+	 * @param address the address that receives reports
 	 * @param self the name of this gateway
-	 * @param start tells starts of this gateway apart
-	 * @param receiver takes each report, on the socket's thread
+	 * @param start identifies this start of the gateway
+	 * @param receiver receives each report, on the event loop
 	 * @return the exchange
 	 */
 	static PeerExchange open(EventLoop loop, InetSocketAddress address, String self, int start,
@@ -79,9 +85,9 @@
 	// -- sending
 
 	/**
-	 * Notes a gateway that the table service names.
-	 * @param gateway its name
-	 * @param address where its reports arrive
+	 * Adds a gateway listed in the table service, or updates its address.
+	 * @param gateway the name of the gateway
+	 * @param address the address that receives its reports
 	 */
 	void found(String gateway, InetSocketAddress address) {
 		if (!gateway.equals(this.self)) {
@@ -90,18 +96,18 @@
 	}
 
 	/**
-	 * The number of the report that goes out next.
-	 * @return from 1 up
+	 * Returns the number of the next report.
+	 * @return the number, starting at 1
 	 */
 	int nextNumber() {
 		return this.number + 1;
 	}
 
 	/**
-	 * Tells all gateways.
-	 * @param report what to tell, without the sender
-	 * @param living whether a gateway lives
-	 * @param confirmation what the report to a gateway confirms
+	 * Sends a report to the other gateways.
+	 * @param report the report, without its sender
+	 * @param living tests whether a gateway is live
+	 * @param confirmation returns the confirmation to include in the report to a gateway
 	 */
 	void tell(GatewayReport.Builder report, Predicate<String> living,
 			Function<String, Optional<Confirmation>> confirmation) {
@@ -118,18 +124,18 @@
 		this.socket.send(datagrams);
 	}
 
-	// A slow link loses the end of what is sent at once: it is another end each time, far
-	// from those of the times before.
+	// A slow link drops the end of a burst. Each report therefore starts at another
+	// gateway, so that the dropped end is far from those of the previous reports.
 	private static int first(int number, int count) {
 		double part = number * GOLDEN_SECTION;
 		return (int) ((part - Math.floor(part)) * count);
 	}
 
 	/**
-	 * Sends the last report once more to a gateway that waits for its confirmation.
-	 * @param gateway the gateway, heard before
-	 * @param confirmation what the report confirms
-	 * @return false when there was no report yet
+	 * Sends the last report again to a gateway that waits for its confirmation.
+	 * @param gateway the name of a gateway that a report was received from
+	 * @param confirmation the confirmation to include
+	 * @return false if no report has been sent yet
 	 */
 	boolean repeat(String gateway, Optional<Confirmation> confirmation) {
 		if (this.last.length == 0) {
@@ -139,8 +145,8 @@
 		return true;
 	}
 
-	// Two messages one behind the other are read as one: what is the same for all is
-	// encoded once, and no report carries what it confirms to the others.
+	// Concatenated Protobuf messages decode as one merged message: the common part is
+	// encoded once, and each report carries only the confirmation for its receiver.
 	private Datagram datagram(Peer peer, Optional<Confirmation> confirmation) {
 		return new Datagram(peer.address, this.last, confirmation.map(PeerExchange::encoded).orElse(NOTHING));
 	}
@@ -162,7 +168,7 @@
 		}
 	}
 
-	// -- hearing
+	// -- receiving
 
 	private static void received(InetSocketAddress from, byte[] bytes, Consumer<Heard> receiver) {
 		try {
@@ -174,7 +180,7 @@
 	}
 
 	/**
-	 * Notes where a report came from.
+	 * Updates the addresses of a report's sender.
 	 * @param heard the report
 	 */
 	void heard(Heard heard) {
@@ -185,9 +191,9 @@
 	}
 
 	/**
-	 * Where gateways serve the tables that they follow.
-	 * @param living whether a gateway lives
-	 * @return the addresses of those that live
+	 * Returns the addresses at which live gateways serve their tables.
+	 * @param living tests whether a gateway is live
+	 * @return the addresses
 	 */
 	List<InetSocketAddress> tableAddresses(Predicate<String> living) {
 		List<InetSocketAddress> addresses = new ArrayList<>();
@@ -205,7 +211,7 @@
 	}
 
 	/**
-	 * A report with its sender's address.
+	 * A report and the address of its sender.
 	 *
 	 * @param from the address
 	 * @param report the report
@@ -213,15 +219,15 @@
 	record Heard(InetSocketAddress from, GatewayReport report) {
 	}
 
-	/** Where another gateway is reached. */
+	/** The addresses of another gateway. */
 	private static final class Peer {
 
 		private InetSocketAddress address;
 
-		/** Whether a report of it ever came. */
+		/** Whether a report of this gateway was ever received. */
 		private boolean heard;
 
-		/** Where it serves its tables; 0 before it was heard. */
+		/** The port that serves its tables; 0 before its first report was received. */
 		private int adminPort;
 
 	}
