--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/FollowedTable.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/FollowedTable.java
@@ -15,18 +15,18 @@
 import org.rosemaryfront.ports.RowStore.Row;
 import org.rosemaryfront.tables.Freshness;
 
-/** The rows of a table as this gateway knows them; may be used on any thread. */
+/** The local copy of a table's rows. Thread-safe. */
 final class FollowedTable {
 
-	/** Changes of late that are kept. */
+	/** The number of recent changes that are retained. */
 	private static final int RECENT = 64;
 
 	private final TreeMap<String, Row> rows = new TreeMap<>();
 
-	/** The last changes in order. */
+	/** The most recent changes, oldest first. */
 	private final Deque<Row> recent = new ArrayDeque<>();
 
-	/** The version behind which all changes are kept. */
+	/** The version after which every change is retained. */
 	private long recentSince;
 
 	private long version;
@@ -34,18 +34,19 @@
 	private final Freshness freshness;
 
 	/**
-	 * A table that is not known yet.
-	 * @param freshness takes how old the knowledge of it is
+	 * Creates an empty copy, at version 0.
+	 * @param freshness records how old the copy is
 	 */
 	FollowedTable(Freshness freshness) {
 		this.freshness = freshness;
 	}
 
 	/**
-	 * Takes the whole table.
-	 * @param all its rows
-	 * @param tableVersion the version of the store at that moment
-	 * @return whether it was taken; an older table than the one known is not
+	 * Replaces the copy with a full read of the table.
+	 * @param all all rows of the table
+	 * @param tableVersion the version of the store at the time of the read
+	 * @return whether the copy was replaced, which a table older than the copy does not
+	 * do
 	 */
 	synchronized boolean all(List<Row> all, long tableVersion) {
 		if (tableVersion < this.version) {
@@ -59,9 +60,9 @@
 		return true;
 	}
 
-	// Others are told of what the reading found, where that is known in order: a row
-	// whose
-	// change should have been known before is none of these.
+	// The changes found by a full read are retained for other gateways, in order. If a
+	// row changed at or before the version of this copy, a change was missed; none are
+	// retained then, since receivers would ignore that row as older than their own copy.
 	private void noteChanges(TreeMap<String, Row> before, long tableVersion) {
 		boolean missed = this.rows.values()
 			.stream()
@@ -87,11 +88,11 @@
 	}
 
 	/**
-	 * Takes changes. Those known before are passed over: they come from the store and
-	 * from other gateways, and an older row must not take the place of a newer.
-	 * @param changed the changed rows in order
-	 * @param tableVersion the version of the store up to which changes are known
-	 * @return the rows that are news
+	 * Applies changes. They come from the store and from other gateways, so changes up to
+	 * the version of this copy are ignored: an older row must not replace a newer one.
+	 * @param changed the changed rows, in order
+	 * @param tableVersion the version of the store up to which the changes are complete
+	 * @return the rows that were applied
 	 */
 	synchronized List<Row> changed(List<Row> changed, long tableVersion) {
 		long known = this.version;
@@ -119,9 +120,9 @@
 	}
 
 	/**
-	 * The changes of late.
-	 * @param since a version
-	 * @return the rows that changed behind it, empty when not all of them are kept
+	 * Returns the recent changes after a version.
+	 * @param since the version
+	 * @return the rows that changed after it, or empty if not all of them are retained
 	 */
 	synchronized Optional<List<Row>> changesSince(long since) {
 		if (since < this.recentSince) {
@@ -139,9 +140,9 @@
 	}
 
 	/**
-	 * What another gateway gets that knows less.
-	 * @param known the version up to which it knows the table
-	 * @return the whole table, empty when it is no newer
+	 * Returns the table for a gateway whose copy may be older.
+	 * @param known the version of that gateway's copy
+	 * @return the whole table, or empty if this copy is not newer
 	 */
 	synchronized Optional<TableRows> newerThan(long known) {
 		if (this.version <= known) {
@@ -155,7 +156,7 @@
 	}
 
 	/**
-	 * Writes a row for another gateway.
+	 * Encodes a row for another gateway.
 	 * @param row the row
 	 * @return the message
 	 */
@@ -167,8 +168,8 @@
 	}
 
 	/**
-	 * Reads what another gateway sent.
-	 * @param messages rows
+	 * Decodes rows sent by another gateway.
+	 * @param messages the encoded rows
 	 * @return the rows
 	 */
 	static List<Row> rows(List<TableRow> messages) {
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PeerTables.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PeerTables.java
@@ -17,13 +17,13 @@
 import org.rosemaryfront.gateway.proto.TableRows;
 
 /**
- * Reads tables from other gateways, for one that the store turns away while it serves
- * them: without that, keys that were taken away and servers that left stay in force there
- * for as long as the store does so.
+ * Reads tables from other gateways, for a gateway that the store rejects while it serves
+ * the others: otherwise revoked keys and removed servers would stay in use there for as
+ * long as the store rejects it.
  */
 final class PeerTables {
 
-	/** A gateway that does not answer within this time is left for another one. */
+	/** The timeout of a request; the next attempt may use another gateway. */
 	private static final Duration ANSWER = Duration.ofMillis(400);
 
 	private static final int CONNECT_MILLIS = 200;
@@ -33,13 +33,13 @@
 	private final Supplier<List<InetSocketAddress>> peers;
 
 	/**
-	 * A reader.
-	 * @param loops the threads of its calls
-	 * @param peers where the gateways that live serve their tables
+	 * Creates a reader.
+	 * @param loops the event loops of its requests
+	 * @param peers supplies the addresses at which live gateways serve their tables
 	 */
 	PeerTables(LoopResources loops, Supplier<List<InetSocketAddress>> peers) {
 		this.peers = peers;
-		// The resolver first: threads without one bring a resolver of names.
+		// The resolver must be set before runOn, which otherwise installs a DNS resolver.
 		this.client = HttpClient.create()
 			.resolver(DefaultAddressResolverGroup.INSTANCE)
 			.runOn(loops, false)
@@ -47,13 +47,13 @@
 	}
 
 	/**
-	 * Asks another gateway for a table.
-	 * @param table the table
-	 * @param known the version up to which it is known here
-	 * @param preferred where a gateway serves its tables that is known to know more,
-	 * empty for any one that lives
-	 * @return the whole table, empty when nobody was there or it is no newer; an error
-	 * when the gateway asked does not answer
+	 * Requests a table from another gateway.
+	 * @param table the name of the table
+	 * @param known the version of the local copy
+	 * @param preferred the address of a gateway known to have a newer copy, or empty to
+	 * choose a live gateway at random
+	 * @return the whole table, or empty if there is no live gateway or its copy is not
+	 * newer; an error if that gateway does not respond
 	 */
 	Mono<TableRows> newer(String table, long known, Optional<InetSocketAddress> preferred) {
 		return preferred.or(this::anyOne).map((peer) -> newer(table, known, peer)).orElse(Mono.empty());
@@ -79,7 +79,7 @@
 			return TableRows.parseFrom(bytes);
 		}
 		catch (InvalidProtocolBufferException ex) {
-			throw new IllegalArgumentException("no table: " + ex.getMessage(), ex);
+			throw new IllegalArgumentException("cannot parse table rows: " + ex.getMessage(), ex);
 		}
 	}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PlatformNews.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PlatformNews.java
@@ -17,8 +17,8 @@
 import org.rosemaryfront.tables.Freshness;
 
 /**
- * Turns rows of the platform into what this gateway believes of the configuration and of
- * the backend servers.
+ * Applies rows of the platform's tables to the configuration, the backend servers and the
+ * roll-outs of this gateway.
  */
 final class PlatformNews {
 
@@ -36,15 +36,15 @@
 
 	private volatile boolean serversKnown;
 
-	/** How old the knowledge of servers is, and when the store was away. */
+	/** How old the local copy of the servers is, and when the store was unavailable. */
 	private final Freshness freshness;
 
-	/** Told when a server started again under its id. */
+	/** Called when a server has restarted under its ID. */
 	private final Runnable startedAgain;
 
 	private final Rollouts rollouts;
 
-	/** Told of each row that cannot be read. */
+	/** Called for each row that cannot be decoded. */
 	private final Runnable unreadable;
 
 	PlatformNews(RecordCodec records, ControlLoop control, BackendTable servers, GatewayControl decisions,
@@ -60,8 +60,8 @@
 	}
 
 	/**
-	 * Whether a configuration and the servers are known.
-	 * @return true from then on
+	 * Returns whether a configuration and the servers have been read.
+	 * @return true once both have been read
 	 */
 	boolean isComplete() {
 		return this.configured && this.serversKnown;
@@ -142,7 +142,8 @@
 		}
 	}
 
-	// Registrations lapse while the store is away, also those of servers that live.
+	// Registrations expire during an outage of the store, including those of live
+	// servers.
 	private void lapsed(String id, long now) {
 		OptionalLong returned = this.freshness.returnedNanos();
 		long keptNanos = this.servers.lapsed(id, now, returned);
@@ -164,7 +165,6 @@
 		this.serversKnown = true;
 	}
 
-	/** Takes news of the configuration. */
 	private final class ConfigurationNews implements TableWatch.Listener {
 
 		@Override
@@ -179,7 +179,6 @@
 
 	}
 
-	/** Takes news of backend servers. */
 	private final class ServerNews implements TableWatch.Listener {
 
 		@Override
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SharedTables.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SharedTables.java
@@ -19,16 +19,20 @@
 import org.rosemaryfront.tables.Role;
 
 /**
- * The tables of the store that gateways follow. A few gateways read them and tell the
- * others what changes; with each reading for itself, the calls to the store grow with the
- * gateways, and at a start of all with their square. Used on the control thread.
+ * The tables of the store that gateways follow. A few gateways read them and send the
+ * changes to the others: if every gateway read them, the calls to the store would grow
+ * with the number of gateways, and when all start together with the square of that
+ * number. Used on the control thread.
  */
 final class SharedTables implements AutoCloseable {
 
-	/** Rows told at once, in bytes; a report stays within one packet. */
+	/**
+	 * The maximum size of the rows in an update, in bytes, which keeps a report within
+	 * one packet.
+	 */
 	private static final int MOST_BYTES = 700;
 
-	/** A change is in so many reports. */
+	/** The number of reports that include each change. */
 	private static final int TIMES_TOLD = 3;
 
 	private final RowStore store;
@@ -37,7 +41,7 @@
 
 	private final Map<String, TableWatch> watches = new HashMap<>();
 
-	/** The versions up to which each table was told in the last reports. */
+	/** The versions of each table that were sent in the last reports. */
 	private final Map<String, Deque<Long>> told = new HashMap<>();
 
 	private Role role = Role.STAND_BY;
@@ -52,10 +56,10 @@
 
 	/**
 	 * Starts to follow a table.
-	 * @param table the table
-	 * @param known takes the rows, for other gateways
-	 * @param limits how old the knowledge of the table may become
-	 * @param listener told of rows
+	 * @param table the name of the table
+	 * @param known the local copy, which is also served to other gateways
+	 * @param limits the limits of how old the local copy may become
+	 * @param listener receives the rows
 	 */
 	void follow(String table, FollowedTable known, FreshnessLimits limits, TableWatch.Listener listener) {
 		TableWatch watch = TableWatch.of(this.store, table, known, this.peers, limits, new Noting(listener));
@@ -64,45 +68,48 @@
 	}
 
 	/**
-	 * Asks what is to be asked now.
-	 * @param nowNanos the time
+	 * Sends the queries that are due.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void tick(long nowNanos) {
 		this.watches.values().forEach((watch) -> watch.tick(this.role, nowNanos));
 	}
 
 	/**
-	 * The process stood still: what it knows is older than it looks.
-	 * @param nowNanos the time at which it went on
+	 * Records a pause of the process, which makes the local copies older than their last
+	 * confirmations say.
+	 * @param nowNanos the time at which the process resumed, on the monotonic clock, in
+	 * nanoseconds
 	 */
 	void paused(long nowNanos) {
 		this.watches.values().forEach((watch) -> watch.paused(nowNanos));
 	}
 
-	// -- telling
+	// -- sending
 
 	/**
-	 * Whether others wait for news.
-	 * @param nowNanos the time
-	 * @return true from a change until it was told
+	 * Returns whether other gateways wait for changes.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return true from a change until it is sent
 	 */
 	boolean isUrgent(long nowNanos) {
 		return this.changed && this.watches.values().stream().anyMatch((watch) -> watch.tells(nowNanos));
 	}
 
 	/**
-	 * Whether this gateway reads all tables from the store.
-	 * @param nowNanos the time
-	 * @return false while it counts on others, or the store does not answer
+	 * Returns whether this gateway reads all tables from the store.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return false while it relies on other gateways, or the store does not respond
 	 */
 	boolean isReading(long nowNanos) {
 		return this.watches.values().stream().allMatch((watch) -> watch.isReading(nowNanos));
 	}
 
 	/**
-	 * What is told to the other gateways.
-	 * @param nowNanos the time
-	 * @return what is known of each table that it reads, or in which it found changes
+	 * Returns the updates to include in the next report.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return an update for each table that this gateway reads or recently found changes
+	 * in
 	 */
 	List<TableNews> news(long nowNanos) {
 		this.changed = false;
@@ -113,8 +120,8 @@
 			.toList();
 	}
 
-	// Changes are told several times, since datagrams are lost; whoever misses one reads
-	// it from the store.
+	// Changes are sent several times because datagrams may be lost. A gateway that misses
+	// all of them reads the table from the store.
 	private TableNews news(TableWatch watch, long nowNanos) {
 		long version = watch.known().version();
 		long since = told(watch.table(), version);
@@ -154,13 +161,13 @@
 		return rows.stream().mapToInt(TableRow::getSerializedSize).sum() <= MOST_BYTES;
 	}
 
-	// -- hearing
+	// -- receiving
 
 	/**
-	 * Takes what another gateway tells.
-	 * @param news what it tells
-	 * @param tables where it serves its tables
-	 * @param nowNanos the time
+	 * Processes the updates in a report of another gateway.
+	 * @param news the updates
+	 * @param tables the address at which that gateway serves its tables
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void heard(List<TableNews> news, InetSocketAddress tables, long nowNanos) {
 		news.forEach((one) -> Optional.ofNullable(this.watches.get(one.getTable()))
@@ -168,8 +175,8 @@
 	}
 
 	/**
-	 * Sets what this gateway does for the others.
-	 * @param now its role
+	 * Sets the role of this gateway in reading the tables.
+	 * @param now the new role
 	 */
 	void role(Role now) {
 		if (now != this.role) {
@@ -178,10 +185,6 @@
 		}
 	}
 
-	/**
-	 * What this gateway does for the others.
-	 * @return its role
-	 */
 	Role role() {
 		return this.role;
 	}
@@ -191,7 +194,7 @@
 		this.watches.values().forEach(TableWatch::close);
 	}
 
-	/** Notes that there are changes to be told. */
+	/** Records that there are changes to send. */
 	private final class Noting implements TableWatch.Listener {
 
 		private final TableWatch.Listener listener;
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/TableWatch.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/TableWatch.java
@@ -31,12 +31,15 @@
 import org.rosemaryfront.tables.TableFollower.Answer;
 
 /**
- * Follows one table: asks the store and other gateways what {@link TableFollower} wants
- * to know, and takes the rows.
+ * Follows one table: sends the queries that {@link TableFollower} requests to the store
+ * and to other gateways, and applies the rows they return.
  */
 final class TableWatch implements AutoCloseable {
 
-	/** For how long a change is told that this gateway found, in nanoseconds. */
+	/**
+	 * For how long a change that this gateway found itself is sent to others, in
+	 * nanoseconds.
+	 */
 	private static final long FIRST_HAND_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	private final RowStore store;
@@ -51,15 +54,21 @@
 
 	private final TableFollower follower;
 
-	/** What is under way at the store. */
+	/** The outstanding requests to the store. */
 	private final Map<Asked, Disposable> underWay = new HashMap<>();
 
 	private boolean closed;
 
-	/** Where a gateway serves its tables that told of changes not known here. */
+	/**
+	 * The address at which a gateway that reported changes missing here serves its
+	 * tables.
+	 */
 	private Optional<InetSocketAddress> knowsMore = Optional.empty();
 
-	/** When a change was found that no other gateway told of; empty before the first. */
+	/**
+	 * When this gateway last found a change that no other gateway had reported; empty
+	 * before the first.
+	 */
 	private OptionalLong firstHandNanos = OptionalLong.empty();
 
 	private TableWatch(RowStore store, String table, FollowedTable known, PeerTables peers, FreshnessLimits limits,
@@ -73,13 +82,13 @@
 	}
 
 	/**
-	 * A watch that has asked nothing yet; {@link #tick} asks.
+	 * Creates a watch, which sends no query before the first call of {@link #tick}.
 	 * @param store the store
-	 * @param table the table
-	 * @param known takes the rows, for other gateways
-	 * @param peers other gateways, asked while the store does not answer
-	 * @param limits how old the knowledge of the table may become
-	 * @param listener told of rows
+	 * @param table the name of the table
+	 * @param known the local copy, which is also served to other gateways
+	 * @param peers reads from other gateways while the store does not respond
+	 * @param limits the limits of how old the local copy may become
+	 * @param listener receives the rows
 	 * @return the watch
 	 */
 	static TableWatch of(RowStore store, String table, FollowedTable known, PeerTables peers, FreshnessLimits limits,
@@ -87,16 +96,16 @@
 		return new TableWatch(store, table, known, peers, limits, listener);
 	}
 
-	// Not one of the questions is cancelled: a caller may still wait for its connection.
+	// No outstanding request is cancelled: a caller may still wait for its connection.
 	@Override
 	public synchronized void close() {
 		this.closed = true;
 	}
 
 	/**
-	 * Asks what is to be asked now.
-	 * @param role what this gateway does for the others
-	 * @param nowNanos the time
+	 * Sends the queries that are due.
+	 * @param role the role of this gateway in reading the tables
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void tick(Role role, long nowNanos) {
 		due(role, nowNanos).forEach(this::ask);
@@ -106,13 +115,13 @@
 		return this.closed ? List.of() : this.follower.tick(role, nowNanos);
 	}
 
-	// -- what other gateways tell
+	// -- updates from other gateways
 
 	/**
-	 * Takes what another gateway tells of the table.
-	 * @param news what it tells
-	 * @param tables where it serves its tables
-	 * @param nowNanos the time
+	 * Processes an update of the table sent by another gateway.
+	 * @param news the update
+	 * @param tables the address at which that gateway serves its tables
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	synchronized void told(TableNews news, InetSocketAddress tables, long nowNanos) {
 		boolean follows = !news.getOmitted() && news.getSince() <= this.known.version();
@@ -127,36 +136,39 @@
 	}
 
 	/**
-	 * The process stood still.
-	 * @param nowNanos the time at which it went on
+	 * Records a pause of the process.
+	 * @param nowNanos the time at which the process resumed, on the monotonic clock, in
+	 * nanoseconds
 	 */
 	synchronized void paused(long nowNanos) {
 		this.follower.paused(nowNanos);
 	}
 
 	/**
-	 * Whether it reads the table from the store, which answers.
-	 * @param nowNanos the time
-	 * @return false while other gateways are counted on, or too little is known
+	 * Returns whether this gateway reads the table from the store and the store responds.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return false while it relies on other gateways, or its copy is not sufficiently
+	 * confirmed
 	 */
 	synchronized boolean isReading(long nowNanos) {
 		return this.follower.isReading(nowNanos);
 	}
 
 	/**
-	 * How long ago the store proved that all changes are known.
-	 * @param nowNanos the time
-	 * @return the time in nanoseconds, empty when it never did
+	 * Returns the time since the store last confirmed to this gateway that its copy is
+	 * current.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the time in nanoseconds, or empty if the store never confirmed it
 	 */
 	synchronized OptionalLong ownAgeNanos(long nowNanos) {
 		return this.follower.ownAgeNanos(nowNanos);
 	}
 
 	/**
-	 * Whether it has something to tell: it reads the table, or found a change while those
-	 * who read it did not.
-	 * @param nowNanos the time
-	 * @return false when it only knows what it was told
+	 * Returns whether this gateway sends updates of the table: it reads the table, or
+	 * recently found a change that the gateways that read it had not reported.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return false if its copy only contains changes received from other gateways
 	 */
 	synchronized boolean tells(long nowNanos) {
 		boolean found = this.firstHandNanos.isPresent()
@@ -172,7 +184,7 @@
 		return this.table;
 	}
 
-	// -- questions
+	// -- queries
 
 	private void ask(Asked asked) {
 		switch (asked.question()) {
@@ -184,8 +196,8 @@
 		}
 	}
 
-	// A row of the first page may change while the others are read: what is known is as
-	// old as that page.
+	// A row of the first page may change while later pages are read, so the result has
+	// the version of the first page.
 	private Mono<Page> readOn(String from, List<Row> before, OptionalLong firstVersion) {
 		return this.store.read(new Range(this.table, from, "")).flatMap((page) -> {
 			before.addAll(page.rows());
@@ -193,7 +205,7 @@
 			if (!page.more()) {
 				return Mono.just(new Page(before, false, version));
 			}
-			// The smallest key behind the last one.
+			// The smallest key after the last one.
 			return readOn(page.rows().getLast().key() + '\0', before, OptionalLong.of(version));
 		});
 	}
@@ -266,14 +278,14 @@
 		return next;
 	}
 
-	// The store may turn this gateway away and serve the others.
+	// The store may reject this gateway while it serves the others.
 	private void askGateway(long version) {
 		this.peers.newer(this.table, version, preferredGateway())
 			.subscribe(this::takeOfGateway, (failure) -> EventLog.info(GatewayEvents.PEER_CALL_FAILED, "table",
 					this.table, "cause", failure.getMessage()));
 	}
 
-	// Once: it may be gone by now.
+	// Used only once, because that gateway may have terminated since.
 	private synchronized Optional<InetSocketAddress> preferredGateway() {
 		Optional<InetSocketAddress> preferred = this.knowsMore;
 		this.knowsMore = Optional.empty();
@@ -289,8 +301,8 @@
 		}
 	}
 
-	// -- rows, one thread after the other: what the store and other gateways tell must
-	// reach the listener in the order in which it was taken
+	// -- rows are applied under the lock: changes from the store and from other gateways
+	// must reach the listener in the order in which they were applied
 
 	private void changed(List<Row> rows, long version) {
 		List<Row> news = this.known.changed(rows, version);
@@ -299,8 +311,8 @@
 		}
 	}
 
-	// Another gateway may answer after the store told more: going back to its table would
-	// send calls to a server that has left.
+	// Another gateway may respond after the store has delivered newer changes. Going back
+	// to its older table would send calls to a server that has left.
 	private boolean take(List<Row> rows, long version) {
 		boolean taken = this.known.all(rows, version);
 		if (taken) {
@@ -309,20 +321,20 @@
 		return taken;
 	}
 
-	/** Takes what a watch sees, on any thread, one call at a time. */
+	/** Receives the rows of a watch, on any thread, one call at a time. */
 	interface Listener {
 
 		/**
-		 * The whole table was read.
+		 * Called after the whole table was read.
 		 * @param rows all rows
-		 * @param version the version of the store at that moment
+		 * @param version the version of the store at the time of the read
 		 */
 		void all(List<Row> rows, long version);
 
 		/**
-		 * Rows changed.
-		 * @param rows the changed rows in order
-		 * @param version the version up to which changes are known
+		 * Called after rows have changed.
+		 * @param rows the changed rows, in order
+		 * @param version the version up to which the changes are complete
 		 */
 		void changed(List<Row> rows, long version);
 
