--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/DutyLease.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/DutyLease.java
@@ -23,31 +23,36 @@
 import org.rosemaryfront.ports.StoreException;
 
 /**
- * Keeps the lease of the duties in one row of the table service. Used on the control
- * thread.
+ * Holds the lease on the singleton duties, stored in one row of the table service. Used
+ * on the control thread.
  */
 final class DutyLease {
 
 	/**
-	 * The term of the lease. Reports of use are due ten seconds after their window, so
-	 * that a successor still has half of that; shorter terms cost more calls to the
-	 * store.
+	 * The term of the lease. Usage reports are due ten seconds after their window, so a
+	 * successor still has half of that time; shorter terms cost more calls to the store.
 	 */
 	private static final Duration TERM = Duration.ofSeconds(5);
 
-	/** What the holder stops before the end of its term; covers an order's way. */
+	/**
+	 * How long before the end of its term the holder stops acting, which covers the time
+	 * that a request spends in transit.
+	 */
 	private static final Duration MARGIN = Duration.ofSeconds(1);
 
-	/** The time between two renewals: two of them may fail before the term ends. */
+	/** The interval between renewals: two of them may fail before the term ends. */
 	private static final Duration RENEWAL = Duration.ofMillis(1_500);
 
-	/** The time between two reads of a process that waits for the lease. */
+	/** The interval between reads by a process that waits for the lease. */
 	private static final Duration READING = Duration.ofMillis(2_500);
 
-	/** The pause behind a call that failed. */
+	/** The delay before a failed call is retried. */
 	private static final Duration RETRY = Duration.ofMillis(300);
 
-	/** When a call without an answer counts as unknown; an answer takes 4 ms. */
+	/**
+	 * The timeout after which the outcome of a call is unknown; a response usually takes
+	 * 4 ms.
+	 */
 	private static final Duration ANSWER = Duration.ofSeconds(1);
 
 	private static final LeaseTerms TERMS = new LeaseTerms(TERM.toNanos(), MARGIN.toNanos(), RENEWAL.toNanos(),
@@ -94,17 +99,17 @@
 	}
 
 	/**
-	 * Gives up the lease, since a newer holder acted or this VM stood still for a time
-	 * that its monotonic clock did not count; it may be taken again under a higher
-	 * number.
+	 * Gives up the lease, because a newer holder has acted or because this VM was
+	 * suspended for a time that its monotonic clock did not count. The lease may be
+	 * acquired again with a higher fencing number.
 	 */
 	void fenced() {
 		this.machine.fenceSeen(this.machine.fence() + 1);
 	}
 
 	/**
-	 * Another gateway says that it holds the lease.
-	 * @param nowNanos the time
+	 * Records that another gateway reports holding the lease.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void heldElsewhere(long nowNanos) {
 		this.machine.heldElsewhere(nowNanos);
@@ -160,7 +165,7 @@
 	}
 
 	private static LeaseRow decode(byte[] value) {
-		return LeaseRowCodec.read(RowJson.tree(value, "the lease's row"));
+		return LeaseRowCodec.read(RowJson.tree(value, "lease row"));
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SizeDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SizeDuty.java
@@ -24,28 +24,30 @@
 import org.rosemaryfront.routes.TrafficConfiguration;
 
 /**
- * Orders the size of services, as the holder of the duties. Used on the control thread.
+ * Orders the sizes of services while this process holds the duties. Used on the control
+ * thread.
  */
 final class SizeDuty {
 
-	/** The time between two looks at the demand, in nanoseconds. */
+	/** The interval between measurements of the demand, in nanoseconds. */
 	private static final long LOOK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	/**
-	 * How long after the last one no other server of a service has registered itself when
-	 * all are taken to have: twice the longest time seen between two of them at a start.
+	 * The time after the last registration of a service's server after which all its
+	 * servers are assumed to have registered: twice the longest interval observed between
+	 * two registrations during a start.
 	 */
 	private static final long SETTLE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_400);
 
-	/** The reclaimable servers of a zone that are ordered before a plan can be made. */
+	/** The number of reclaimable servers ordered per zone before there is a plan. */
 	private static final int FIRST_RECLAIMABLE = 2;
 
 	private final BackendTable servers;
 
-	/** How fast a server of a service reads prompts, as learned from calls. */
+	/** The rate at which a server of a service prefills prompts, learned from calls. */
 	private final ToDoubleFunction<String> tokensPerMilli;
 
-	/** Whether a server has a part in what its service can serve. */
+	/** Tests whether a server counts towards the capacity of its service. */
 	private final Predicate<BackendServer> counted;
 
 	private final Duties duties;
@@ -63,7 +65,7 @@
 
 	private final SizeOrders orders = new SizeOrders();
 
-	/** The servers at the last look at the orders, by service. */
+	/** The servers seen when orders were last derived, by service. */
 	private final Map<String, Map<String, ZoneSize>> lastPresent = new HashMap<>();
 
 	private final Map<String, Registered> registered = new HashMap<>();
@@ -75,7 +77,10 @@
 	/** Whether there are plans that no order was derived from yet. */
 	private boolean planned;
 
-	/** Whether a reclaimable VM was refused: what replaces it boots for seconds. */
+	/**
+	 * Whether a reclaimable VM was refused. Its replacement takes seconds to boot, so it
+	 * is ordered immediately.
+	 */
 	private boolean fallbackWanted;
 
 	private double lastTokens;
@@ -94,12 +99,12 @@
 	}
 
 	/**
-	 * Looks at the demand; every gateway does, so that whoever takes the duties over
-	 * knows what was needed of late. A successor that began from nothing gave back, in
-	 * the middle of a wave of reclaims, what its predecessor had ordered.
+	 * Measures the demand and plans the sizes. Every gateway does this, so that a new
+	 * holder of the duties knows the recently required capacity. Without it, a successor
+	 * released the servers that its predecessor had ordered, during a correlated reclaim.
 	 * @param configuration the configuration in force
-	 * @param readingTokens the prompt tokens read by servers since the start
-	 * @param now the time
+	 * @param readingTokens the prompt tokens prefilled by servers since the start
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void look(TrafficConfiguration configuration, double readingTokens, long now) {
 		if (this.looked && now - this.lookedNanos < LOOK_NANOS) {
@@ -114,11 +119,11 @@
 	}
 
 	/**
-	 * Orders what the plans lack, as the holder of the duties: with each new plan, and at
-	 * once when servers come or go.
+	 * Orders the servers that the plans lack, while this process holds the duties: with
+	 * each new plan, and immediately when servers register or are removed.
 	 * @param fence the fencing number
 	 * @param configuration the configuration in force
-	 * @param now the time
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void act(long fence, TrafficConfiguration configuration, long now) {
 		boolean due = this.planned || this.fallbackWanted;
@@ -146,7 +151,8 @@
 	private void measure(double readingTokens, long now) {
 		if (this.looked) {
 			double rate = (readingTokens - this.lastTokens) * 1e9 / (now - this.lookedNanos);
-			// Half of the newest second: one prompt may be a large part of a second's.
+			// Averages with the previous rate, because a single prompt may dominate one
+			// second.
 			this.tokensPerSecond = (this.tokensPerSecond + Math.max(0, rate)) / 2;
 		}
 		this.looked = true;
@@ -154,16 +160,17 @@
 		this.lastTokens = readingTokens;
 	}
 
-	// The servers of a service that starts register themselves one after the other. A
-	// plan made from the first of them gave the others back, and the traffic began with
-	// four servers where it needed seven: in its first six seconds 0.5 of it was in time.
+	// The servers of a starting service register one after the other. A plan made from
+	// the first of them released the others: the traffic began with four servers where it
+	// needed seven, and in its first six seconds only 0.5 of it was in time.
 	private boolean isSettled(String service, long now) {
 		Registered before = this.registered.getOrDefault(service, Registered.NONE);
 		if (before.settled) {
 			return true;
 		}
 		Collection<ZoneSize> here = present(service).values();
-		// Reclaimable ones come of orders of ours and tell nothing of the others.
+		// Reclaimable servers are ordered by this duty and do not show whether the others
+		// have registered.
 		int lasting = lasting(here);
 		boolean any = here.stream().anyMatch((zone) -> zone.servers() > 0);
 		boolean more = lasting > before.lasting || (any && !before.any);
@@ -184,8 +191,8 @@
 			.plan(service, cheapestFirst, demand, now);
 	}
 
-	// Some reclaimable servers are needed whatever the plan says: they boot while the
-	// servers that run register themselves, and take over from them seconds earlier.
+	// Some reclaimable servers are needed whatever the plan will be. Ordered now, they
+	// boot while the running servers register, and take over from them seconds earlier.
 	private void begin(long fence, ServiceSpec service, String zone, long now) {
 		ServiceSpec.ScalingSpec bounds = service.scaling().orElseThrow();
 		if (present(service.name()).get(zone).reclaimable() == 0) {
@@ -221,8 +228,6 @@
 		}
 	}
 
-	// -- the servers present
-
 	private Map<String, ZoneSize> present(String service) {
 		Map<String, ZoneSize> present = new HashMap<>();
 		this.zones.forEach((zone) -> present.put(zone, ZoneSize.NONE));
@@ -243,12 +248,12 @@
 	}
 
 	/**
-	 * What is known of the servers of a service at the start.
+	 * The servers of a service that have registered since the start.
 	 *
-	 * @param lasting the most lasting ones that were there at once
-	 * @param any whether there was any server
-	 * @param sinceNanos since when there are so many
-	 * @param settled whether no more are to be waited for
+	 * @param lasting the maximum number of on-demand servers seen at the same time
+	 * @param any whether any server was present at the last check
+	 * @param sinceNanos when that state last grew, on the monotonic clock
+	 * @param settled whether all servers are assumed to have registered
 	 */
 	private record Registered(int lasting, boolean any, long sinceNanos, boolean settled) {
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/UsageDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/UsageDuty.java
@@ -29,41 +29,47 @@
 import org.rosemaryfront.ports.StoreException;
 
 /**
- * The report of use: each gateway writes its counts of a window into a row, and the
- * holder of the duties adds them up and reports the sum. What a gateway could not write,
- * it tells the others. Used on the control thread.
+ * Reports usage: each gateway writes its counts of a window into a row, and the holder of
+ * the duties adds them up and reports the sum. Rows that a gateway could not write are
+ * included in its reports to the other gateways. Used on the control thread.
  *
  * <p>
- * The sum is written down before it is reported for the first time. A report whose answer
- * was lost is repeated, also by a successor; were it added up anew, a row that came late
- * would make it a second, different report of the same window.
+ * The sum is stored before it is reported for the first time. A report whose response was
+ * lost is repeated, possibly by a successor. If the sum were computed again, a row that
+ * arrived late would turn the repetition into a second, different report of the same
+ * window.
  */
 final class UsageDuty {
 
-	/** When rows of a window are added up, behind its end, in milliseconds. */
+	/**
+	 * The time from the end of a window until its rows are added up, in milliseconds.
+	 */
 	private static final long SETTLE_MILLIS = 2_000;
 
 	/**
-	 * How long behind its end a window is still reported, in milliseconds; a report is
-	 * due after ten seconds.
+	 * The time from the end of a window until its report is abandoned, in milliseconds; a
+	 * report is due after ten seconds.
 	 */
 	private static final long DUE_MILLIS = 9_500;
 
-	/** The pause behind a row that the store did not take. */
+	/** The delay before a row that the store did not accept is written again. */
 	private static final Duration WRITE_AGAIN = Duration.ofMillis(800);
 
-	/** The pause behind a failure, in milliseconds. */
+	/** The delay after a failure, in milliseconds. */
 	private static final long RETRY_MILLIS = 400;
 
 	/**
-	 * A row that is not written after this time is told to the others, in milliseconds:
-	 * the store answers within a few, and rows are added up after {@link #SETTLE_MILLIS}.
+	 * The time after which an unwritten row is sent to the other gateways, in
+	 * milliseconds: the store responds within a few milliseconds, and rows are added up
+	 * after {@link #SETTLE_MILLIS}.
 	 */
 	private static final long HANDOVER_MILLIS = 500;
 
 	private static final String TABLE = "usage";
 
-	/** Sorts behind the names of gateways, so that one read brings rows and sum. */
+	/**
+	 * Sorts after the names of gateways, so that one read returns the rows and the sum.
+	 */
 	private static final String SUM = "~sum";
 
 	private static final TypeReference<TreeMap<String, Long>> COUNTS = new TypeReference<>() {
@@ -81,7 +87,7 @@
 
 	private final Runnable fenced;
 
-	/** Own rows that are not known to be written, by key. */
+	/** Rows of this gateway that are not confirmed as written, by key. */
 	private final Map<String, UnwrittenRow> unwritten = new TreeMap<>();
 
 	private final HeardUsage heard = new HeardUsage();
@@ -107,16 +113,16 @@
 		this.control = control;
 	}
 
-	// -- own counts
+	// -- counts of this gateway
 
 	/**
-	 * Takes windows that are over.
+	 * Queues the rows of closed windows to be written.
 	 * @param windows the windows
-	 * @param start tells starts of this process apart
+	 * @param start identifies this start of the process
 	 */
 	void closed(List<Window> windows, int start) {
 		for (Window window : windows) {
-			// A window can be closed twice, before the process ends and at its end.
+			// A window can be closed twice: during the shutdown and at its end.
 			this.written++;
 			String row = process(this.self, start) + '/' + this.written;
 			this.unwritten.put(key(window.index(), row),
@@ -126,9 +132,9 @@
 	}
 
 	/**
-	 * Names one start of a gateway; the rows that it writes begin so.
-	 * @param gateway the gateway
-	 * @param start tells its starts apart
+	 * Returns the name of one start of a gateway, which prefixes the names of its rows.
+	 * @param gateway the name of the gateway
+	 * @param start identifies the start
 	 * @return the name
 	 */
 	static String process(String gateway, int start) {
@@ -136,8 +142,8 @@
 	}
 
 	/**
-	 * Own rows that the store did not take for a while.
-	 * @return the rows, for the other gateways
+	 * Returns the rows of this gateway that the store has not accepted for some time.
+	 * @return the rows to send to the other gateways
 	 */
 	List<UnwrittenRow> handover() {
 		long now = System.nanoTime();
@@ -166,16 +172,16 @@
 		});
 	}
 
-	// The same row with the same value again does no harm; at once again and again it is
-	// a burden to a store that is short of time.
+	// Writing the same row again is harmless, but immediate repeated retries would add
+	// load to an overloaded store.
 	private void writeAgainLater(String key) {
 		Mono.delay(WRITE_AGAIN).subscribe((_) -> this.control.accept(() -> this.writing.remove(key)));
 	}
 
-	// -- the counts of others
+	// -- counts of other gateways
 
 	/**
-	 * Takes what another gateway counted so far in the window under way.
+	 * Records the counts of another gateway in the current window.
 	 * @param window the window
 	 * @param process the start of the gateway
 	 * @param counts the calls by organisation
@@ -186,20 +192,21 @@
 	}
 
 	/**
-	 * Takes a row that another gateway could not write.
+	 * Records a row that another gateway could not write.
 	 * @param window the window
 	 * @param row the name of the row
-	 * @param counts its value
+	 * @param counts the value of the row
 	 */
 	void heardUnwritten(long window, String row, byte[] counts) {
 		decode(key(window, row), counts).ifPresent((read) -> this.heard.unwritten(window, row, read));
 	}
 
-	// -- the duty
+	// -- reporting
 
 	/**
-	 * Lets time pass.
-	 * @param epochMillis the time on the wall clock
+	 * Writes outstanding rows again and, on the first call, sets the first window to
+	 * report.
+	 * @param epochMillis the current time on the wall clock
 	 */
 	void tick(long epochMillis) {
 		if (epochMillis >= this.notBeforeMillis) {
@@ -211,10 +218,10 @@
 	}
 
 	/**
-	 * Reports the oldest window that is due, as the holder of the duties.
+	 * Reports the oldest window that is due, while this process holds the duties.
 	 * @param fence the fencing number
-	 * @param epochMillis the time on the wall clock
-	 * @param organisations all organisations
+	 * @param epochMillis the current time on the wall clock
+	 * @param organisations the names of all organisations
 	 */
 	void act(long fence, long epochMillis, Set<String> organisations) {
 		if (this.busy || epochMillis < this.notBeforeMillis) {
@@ -245,7 +252,7 @@
 			Optional<Map<String, Long>> counts = decode(row.key(), row.value().orElse(new byte[0]));
 			if (row.key().equals(key(window, SUM))) {
 				counts.ifPresentOrElse((known) -> report(fence, window, known, rows.size() - 1, List.of()),
-						() -> giveUp(window, "its sum cannot be read"));
+						() -> giveUp(window, "stored sum cannot be decoded"));
 				return;
 			}
 			keys.add(row.key());
@@ -292,7 +299,7 @@
 		}, (failure) -> RowLog.failed(key(window, ""), "delete", failure));
 	}
 
-	// A sum that was reported before must not be added up anew.
+	// A sum that may have been reported before must not be computed again.
 	private void giveUp(long window, String cause) {
 		EventLog.warn(GatewayEvents.USAGE_GIVEN_UP, "window", window, "cause", cause);
 		this.reported.add(window);
@@ -316,7 +323,7 @@
 		this.notBeforeMillis = System.currentTimeMillis() + pauseMillis;
 	}
 
-	// The windows behind the newest one that a report may still need.
+	// The number of windows before the newest one that a report may still need.
 	private long keptWindows() {
 		return 2 + DUE_MILLIS / this.windowMillis;
 	}
@@ -325,13 +332,12 @@
 		return String.format("%012d/%s", window, rest);
 	}
 
-	// Guards the duty against a row of another writer, or a spoiled one: taken as a
-	// failure, it ended the work of whoever held the duties, one holder after the other,
-	// and no window was reported any more. Its counts are missing from one window
-	// instead.
+	// Ignores a row that was corrupted or written by another program; its counts are
+	// missing from one window. When this was treated as a failure, it stopped each holder
+	// of the duties in turn, and no window was reported any more.
 	private static Optional<Map<String, Long>> decode(String key, byte[] value) {
 		try {
-			return Optional.of(RowJson.read(value, COUNTS, "a row of use"));
+			return Optional.of(RowJson.read(value, COUNTS, "usage row"));
 		}
 		catch (IllegalStateException ex) {
 			RowLog.unreadable(key, ex);
@@ -340,12 +346,12 @@
 	}
 
 	/**
-	 * A row that is not known to be written.
+	 * A row that is not confirmed as written.
 	 *
 	 * @param window the window
 	 * @param row the name of the row
-	 * @param counts its value
-	 * @param sinceNanos when it was to be written, on the monotonic clock
+	 * @param counts the value of the row
+	 * @param sinceNanos when it was queued, on the monotonic clock
 	 */
 	record UnwrittenRow(long window, String row, byte[] counts, long sinceNanos) {
 	}
