--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/DeniableStore.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/DeniableStore.java
@@ -12,8 +12,8 @@
 import org.rosemaryfront.ports.StoreException.Reason;
 
 /**
- * A way to a table service that turns one gateway away and serves the others, or loses
- * what it was asked.
+ * A connection to a table service that can reject one gateway while the service accepts
+ * others, or lose its requests.
  */
 final class DeniableStore implements RowStore {
 
@@ -21,10 +21,10 @@
 
 	private final Sinks.One<Void> denied = Sinks.one();
 
-	/** Ends what is under way with an error. */
+	/** Fails the outstanding requests. */
 	private volatile Sinks.One<Void> broken = Sinks.one();
 
-	/** Set for what is under way once it is never answered. */
+	/** Set to true to leave the outstanding requests without a response. */
 	private volatile AtomicBoolean silent = new AtomicBoolean();
 
 	private volatile boolean denying;
@@ -35,20 +35,20 @@
 		this.store = store;
 	}
 
-	/** Turns the gateway away for good, also what it waits for now. */
+	/** Rejects all requests from now on, and fails the outstanding ones. */
 	void deny() {
 		this.denying = true;
 		this.denied.tryEmitError(failure());
 	}
 
-	/** Breaks what is under way off; what is asked from now on is answered. */
+	/** Fails the outstanding requests; later requests are served. */
 	void breakOff() {
 		Sinks.One<Void> now = this.broken;
 		this.broken = Sinks.one();
 		now.tryEmitError(failure());
 	}
 
-	/** Never answers what is under way; what is asked from now on is answered. */
+	/** Leaves the outstanding requests without a response; later requests are served. */
 	void silence() {
 		AtomicBoolean now = this.silent;
 		this.silent = new AtomicBoolean();
@@ -56,8 +56,8 @@
 	}
 
 	/**
-	 * Turns the gateway's writes away, or takes them again.
-	 * @param now whether they are turned away
+	 * Rejects the gateway's writes, or accepts them again.
+	 * @param now whether writes are rejected
 	 */
 	void denyWrites(boolean now) {
 		this.denyingWrites = now;
@@ -88,7 +88,7 @@
 	}
 
 	private static StoreException failure() {
-		return StoreException.of(Reason.BUSY, Verdict.notRun(), "turned away");
+		return StoreException.of(Reason.BUSY, Verdict.notRun(), "rejected");
 	}
 
 }
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayHarness.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayHarness.java
@@ -27,12 +27,12 @@
 import org.rosemaryfront.tables.Freshness;
 import org.rosemaryfront.tables.Role;
 
-/** A gateway with a store in memory, for tests that talk to it over sockets. */
+/** A gateway with an in-memory store, for tests that call it over sockets. */
 final class GatewayHarness implements AutoCloseable {
 
 	static final String SERVERS = "servers";
 
-	/** Long enough for a slow machine; a test that passes waits for none of it. */
+	/** Long enough for a slow machine; a passing test does not wait this long. */
 	private static final long AWAIT_MILLIS = 10_000;
 
 	/** Shorter than the timeout of most routes, longer than that of {@code /short/}. */
@@ -41,7 +41,8 @@
 	private static final long QUOTA_WINDOW_MILLIS = 8_000;
 
 	/**
-	 * Waited for before the first call, so that the fixed part of the retries is there.
+	 * Must pass before the first call, so that the fixed part of the retry budget is
+	 * available.
 	 */
 	private static final long RETRY_WINDOW_MILLIS = 10;
 
@@ -98,8 +99,8 @@
 	}
 
 	/**
-	 * Settings of a gateway that is not started yet.
-	 * @return the settings, with ports that are free
+	 * Returns settings for a gateway that is not started yet.
+	 * @return the settings, with free ports
 	 */
 	static GatewaySettings settings() {
 		return settings("gateway-1", new GatewaySettings.Bounds(STOP_MILLIS, 100, 0.2, 64, RETRY_WINDOW_MILLIS,
@@ -119,18 +120,18 @@
 	}
 
 	/**
-	 * Starts a second gateway before the same store.
-	 * @param other the first one
-	 * @return the second
+	 * Starts a second gateway that uses the same store.
+	 * @param other the first gateway
+	 * @return the second gateway
 	 */
 	static GatewayHarness startBeside(GatewayHarness other) {
 		return new GatewayHarness("gateway-2", other.settings.bounds().usageWindowMillis(), other.store, other.codecs);
 	}
 
 	/**
-	 * Starts gateways before one store.
+	 * Starts gateways that share a store.
 	 * @param store the store
-	 * @param count how many
+	 * @param count the number of gateways
 	 * @param quotaWindowMillis the window of quotas, in milliseconds
 	 * @return the gateways
 	 */
@@ -141,7 +142,7 @@
 			.toList();
 	}
 
-	// -- what is declared
+	// -- declared configuration
 
 	static TrafficConfiguration configuration(long version, CallerLimits limits, Organisation... organisations) {
 		return TrafficConfiguration.of(version,
@@ -180,8 +181,8 @@
 	}
 
 	/**
-	 * Waits until callers may come and the gateway knows servers that others registered.
-	 * @param ids all servers that live
+	 * Waits until the gateway is ready and knows servers that others registered.
+	 * @param ids the IDs of all live servers
 	 */
 	void ready(List<String> ids) throws IOException {
 		this.registered.clear();
@@ -190,9 +191,9 @@
 	}
 
 	/**
-	 * Declares the routes and starts the one server behind them.
-	 * @param script what the server does
-	 * @return the server, named {@code s1}
+	 * Declares the routes and starts their only server.
+	 * @param script the behaviour of the server
+	 * @return the server, registered as {@code s1}
 	 */
 	ScriptedServer serving(ScriptedServer.Script script) throws IOException {
 		ScriptedServer server = ScriptedServer.start(script);
@@ -201,9 +202,9 @@
 	}
 
 	/**
-	 * Waits until callers may come and the servers registered so far are known: the two
-	 * tables are followed apart, so that the configuration can come first. Retries come a
-	 * window after the start.
+	 * Waits until the gateway is ready, knows the servers registered so far, and can
+	 * retry calls. The tables are followed separately, so the configuration may arrive
+	 * before the servers. Retries are available one window after the start.
 	 */
 	GatewayHarness ready() throws IOException {
 		await(() -> System.nanoTime() - this.startedNanos > RETRY_WINDOW_MILLIS * 1_000_000);
@@ -211,7 +212,7 @@
 		return this;
 	}
 
-	// -- talking to it
+	// -- calls and queries
 
 	RawCaller caller() throws IOException {
 		return new RawCaller(this.settings.callers());
@@ -228,9 +229,9 @@
 	}
 
 	/**
-	 * Asks whether callers may come.
-	 * @param settings those of the gateway
-	 * @return the status, 0 when nobody answers
+	 * Sends a readiness probe.
+	 * @param settings the settings of the gateway
+	 * @return the status, or 0 if the gateway does not respond
 	 */
 	static int readiness(GatewaySettings settings) {
 		try (RawCaller caller = new RawCaller(settings.readiness())) {
@@ -245,7 +246,7 @@
 		long until = System.nanoTime() + AWAIT_MILLIS * 1_000_000;
 		while (!condition.getAsBoolean()) {
 			if (System.nanoTime() - until > 0) {
-				throw new AssertionError("what was waited for did not come");
+				throw new AssertionError("condition not met in time");
 			}
 			try {
 				Thread.sleep(10);
@@ -258,9 +259,9 @@
 	}
 
 	/**
-	 * Lets a watch of its own ask the store, as a gateway that reads for others does.
+	 * Ticks a watch as a gateway in the stand-by role does.
 	 * @param watch the watch
-	 * @return ends that
+	 * @return stops the ticks when disposed
 	 */
 	static Disposable ticking(TableWatch watch) {
 		return Flux.interval(Duration.ZERO, TICK).subscribe((_) -> watch.tick(Role.STAND_BY, System.nanoTime()));
@@ -271,8 +272,8 @@
 	}
 
 	/**
-	 * The gateways that this one knows to live.
-	 * @return the count, itself included
+	 * Returns the number of live gateways that this one knows.
+	 * @return the number, including itself
 	 */
 	int hears() {
 		return this.process.living();
@@ -283,25 +284,25 @@
 	}
 
 	/**
-	 * Whether the gateway reads the tables of the store itself.
-	 * @return false while others tell it what changes
+	 * Returns whether the gateway reads the tables from the store itself.
+	 * @return false while it receives the changes from other gateways
 	 */
 	boolean reads() {
 		return this.process.readsTables();
 	}
 
 	/**
-	 * What the gateway has learned of how long the servers take to a first token.
-	 * @return the rates, empty as long as they rest on few calls
+	 * Returns the coefficients that the gateway has learned for the time to first token.
+	 * @return the rates, empty while they rest on too few calls
 	 */
 	List<Double> learned() {
 		return this.process.learned("app");
 	}
 
 	/**
-	 * Keeps the thread of all sockets from its work, as a VM without processor time does.
-	 * @param begun counted down when it stands still
-	 * @param until it goes on when this is counted down
+	 * Blocks the event loop of all sockets, as on a VM that gets no processor time.
+	 * @param begun counted down when the event loop is blocked
+	 * @param until the event loop resumes when this reaches zero
 	 */
 	void stall(CountDownLatch begun, CountDownLatch until) {
 		this.loops.onServer(false).next().execute(() -> {
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/MemoryRowStore.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/MemoryRowStore.java
@@ -17,7 +17,7 @@
 import org.rosemaryfront.ports.StoreException;
 import org.rosemaryfront.ports.StoreException.Reason;
 
-/** A table service in memory, which can be away and forget its history. */
+/** An in-memory table service that can be unavailable and can lose its history. */
 final class MemoryRowStore implements RowStore {
 
 	private final Map<String, TreeMap<String, Row>> tables = new HashMap<>();
@@ -30,15 +30,15 @@
 
 	private boolean away;
 
-	/** Commits that came while the store was away, by table. */
+	/** Commits rejected during an outage, by table. */
 	private final Map<String, Integer> refusedCommits = new HashMap<>();
 
 	private boolean closed;
 
-	/** Questions for changes that wait, by table. */
+	/** Waiting requests for changes, by table. */
 	private final Map<String, Integer> waiting = new HashMap<>();
 
-	// -- the test's side
+	// -- methods for tests
 
 	synchronized void put(String table, String key, String value) {
 		write(table, key, Optional.of(value.getBytes(StandardCharsets.UTF_8)));
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	 * The commits that came while the store was away.
+	 * Returns the number of commits rejected during an outage.
 	 * @param table the table
 	 * @return the count
 	 */
@@ -65,7 +65,7 @@
 	}
 
 	/**
-	 * The questions for changes that wait.
+	 * Returns the number of requests that wait for changes.
 	 * @param table the table
 	 * @return the count
 	 */
@@ -73,7 +73,7 @@
 		return this.waiting.getOrDefault(table, 0);
 	}
 
-	/** Answers whoever still waits, so that no thread outlives its test. */
+	/** Completes all waiting requests, so that no thread outlives its test. */
 	synchronized void close() {
 		this.closed = true;
 		notifyAll();
@@ -88,7 +88,7 @@
 		return Map.copyOf(this.tables.getOrDefault(table, new TreeMap<>()));
 	}
 
-	// -- the gateway's side
+	// -- methods for gateways
 
 	@Override
 	public Mono<Outcome> commit(Commit commit) {
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PlainCodecs.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PlainCodecs.java
@@ -22,7 +22,7 @@
 import org.rosemaryfront.rollout.RolloutOrder;
 import org.rosemaryfront.routes.TrafficConfiguration;
 
-/** Headers and rows in plain words, for tests. */
+/** Plain-text codecs of headers and rows, for tests. */
 final class PlainCodecs implements CallCodec, RecordCodec {
 
 	private static final String ROLLOUT = "rollout/";
@@ -30,7 +30,7 @@
 	private final Map<String, TrafficConfiguration> configurations = new ConcurrentHashMap<>();
 
 	/**
-	 * Makes a configuration readable.
+	 * Registers a configuration so that its row can be decoded.
 	 * @param configuration the configuration
 	 * @return the value of its row
 	 */
@@ -51,7 +51,8 @@
 				Optional.ofNullable(headers.get("Prompt")).map(PlainCodecs::prompt));
 	}
 
-	// A prompt is its parts as "name:tokens", the last one the call's own.
+	// A prompt is a list of segments "name:tokens", the last of which belongs to the call
+	// alone.
 	private static Prompt prompt(String text) {
 		List<Part> parts = Stream.of(text.split(","))
 			.map((part) -> part.split(":"))
@@ -102,7 +103,7 @@
 	public RolloutOrder rollout(String service, byte[] value, long version) {
 		String[] parts = new String(value, StandardCharsets.UTF_8).split(" ");
 		if (parts.length != 2) {
-			throw new IllegalArgumentException("no order");
+			throw new IllegalArgumentException("invalid roll-out order");
 		}
 		return new RolloutOrder(service, parts[0], Long.parseLong(parts[1]), version);
 	}
@@ -121,15 +122,16 @@
 	public TrafficConfiguration configuration(byte[] value) {
 		String name = new String(value, StandardCharsets.UTF_8);
 		return Optional.ofNullable(this.configurations.get(name))
-			.orElseThrow(() -> new IllegalArgumentException("no configuration: " + name));
+			.orElseThrow(() -> new IllegalArgumentException("unknown configuration: " + name));
 	}
 
-	// A row is "service address state", with its start, version and number behind.
+	// A row is "service address state", optionally followed by start, version and
+	// sequence number.
 	@Override
 	public BackendServer server(String id, byte[] value) {
 		String[] parts = new String(value, StandardCharsets.UTF_8).split(" ");
 		if (parts.length < 3) {
-			throw new IllegalArgumentException("no registration");
+			throw new IllegalArgumentException("invalid registration");
 		}
 		long started = (parts.length > 3) ? Long.parseLong(parts[3]) : BackendServer.START_UNKNOWN;
 		String version = (parts.length > 4) ? parts[4] : "v1";
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RecordedDuties.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RecordedDuties.java
@@ -12,7 +12,7 @@
 import org.rosemaryfront.ports.StoreException;
 import org.rosemaryfront.ports.StoreException.Reason;
 
-/** Remembers the calls of duties, and can lose their answers. */
+/** Records the requests of duties, and can lose their responses. */
 final class RecordedDuties implements Duties {
 
 	private final List<Usage> usages = new CopyOnWriteArrayList<>();
@@ -44,7 +44,7 @@
 		return Mono.defer(() -> {
 			this.usages.add(new Usage(fence, window, Map.copyOf(counts)));
 			return (fence < this.fencedBelow)
-					? Mono.error(StoreException.of(Reason.FENCED, Verdict.notRun(), "a higher fence was seen"))
+					? Mono.error(StoreException.of(Reason.FENCED, Verdict.notRun(), "a higher fencing number was seen"))
 					: answer();
 		});
 	}
@@ -59,16 +59,16 @@
 
 	private Mono<Void> answer() {
 		return this.losingAnswers
-				? Mono.error(StoreException.of(Reason.UNREACHABLE, Verdict.mayHaveRun(), "the answer is lost"))
+				? Mono.error(StoreException.of(Reason.UNREACHABLE, Verdict.mayHaveRun(), "response lost"))
 				: Mono.empty();
 	}
 
 	/**
-	 * A report of use.
+	 * A usage report.
 	 *
 	 * @param fence the fencing number
 	 * @param window the window
-	 * @param counts the counts
+	 * @param counts the calls by organisation
 	 */
 	record Usage(long fence, long window, Map<String, Long> counts) {
 	}
