--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/BeliefsTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/BeliefsTests.java
@@ -39,7 +39,8 @@
 		}
 	}
 
-	// Guards against taking a row that cannot be read for "no configuration".
+	// Guards against treating a configuration row that cannot be decoded as a missing
+	// configuration.
 	@Test
 	void shouldKeepConfigurationWhenNewerCannotBeRead() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start()) {
@@ -63,7 +64,8 @@
 		}
 	}
 
-	// Guards against old keys and servers at a gateway that the store turns away.
+	// Guards against a gateway rejected by the store that keeps using revoked keys and
+	// removed servers.
 	@Test
 	void shouldLearnFromOtherGatewaysWhenStoreTurnsItAway() throws IOException {
 		try (GatewayHarness other = GatewayHarness.start();
@@ -96,7 +98,8 @@
 		}
 	}
 
-	// Guards against a heartbeat of the server that is written late.
+	// Guards against an older heartbeat of the server that is written late and replaces
+	// its announcement that it leaves.
 	@Test
 	void shouldSendNothingToLeavingServerWhoseOlderRegistrationComesLate() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
@@ -110,8 +113,8 @@
 		}
 	}
 
-	// Guards against calling a server by the registration before the one that was
-	// spoiled.
+	// Guards against calling a server by its previous registration after the current one
+	// was corrupted.
 	@Test
 	void shouldSendNothingToServerWhoseRegistrationWasSpoiled() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
@@ -126,7 +129,7 @@
 		}
 	}
 
-	// Guards against waiting for answers of a server's earlier start.
+	// Guards against waiting for responses of a server's previous start.
 	@Test
 	void shouldEndCallsOfServerThatStartedAgain() throws IOException {
 		AtomicBoolean asked = new AtomicBoolean();
@@ -142,8 +145,8 @@
 		}
 	}
 
-	// A deployment comes with servers that nobody described. Whatever calls tell of them,
-	// the gateway went on with its start values, and the other gateways heard nothing.
+	// A deployment uses servers of unknown speed. The gateway ignored the latencies of
+	// its calls and kept its initial estimates, and other gateways received none either.
 	@Test
 	void shouldLearnFromCallsAndTellOtherGateways() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
@@ -155,16 +158,16 @@
 				gateway.ask(RawCaller.post("c" + i, "/drafts/", "x").replace("Key:", prompt));
 			}
 			GatewayHarness.await(() -> !gateway.learned().isEmpty());
-			// A local server answers at once: far less than the cautious start values
-			// say.
+			// A local server responds immediately, so the learned rate is far below the
+			// conservative initial estimate.
 			assertThat(gateway.learned().getFirst()).isLessThan(30);
 			GatewayHarness.await(() -> other.hears() == 2);
 			assertThat(server.requests()).hasSize(80);
 		}
 	}
 
-	// Guards against taking silence for "nothing changed": calls went on to a server that
-	// had left.
+	// Guards against treating a missing response as "no changes": calls still went to a
+	// server that had left.
 	@Test
 	void shouldLearnThatServerLeavesWhenItsQuestionIsNeverAnswered() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
@@ -177,8 +180,8 @@
 		}
 	}
 
-	// Guards against taking one failed question for an outage in which registrations
-	// lapse: a server that had left was kept, and got calls.
+	// Guards against treating one failed query as an outage in which registrations
+	// expire: a server that had left was kept, and received calls.
 	@Test
 	void shouldDropServerWhoseRegistrationEndsBehindOneFailedQuestion() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
@@ -195,7 +198,8 @@
 		}
 	}
 
-	// Registrations lapse while the store is away, also those of servers that live.
+	// Registrations expire during an outage of the store, including those of live
+	// servers.
 	@Test
 	void shouldKeepServerForAWhileWhoseRegistrationEndedInAnOutage() throws Exception {
 		try (GatewayHarness gateway = GatewayHarness.start();
@@ -227,8 +231,8 @@
 
 	// -- duties
 
-	// While the store takes nothing, each gateway tried to write its counts ten times a
-	// second.
+	// While the store rejected writes, each gateway retried writing its counts ten times
+	// a second.
 	@Test
 	void shouldNotPressStoreThatTakesNoCounts() throws Exception {
 		try (GatewayHarness gateway = GatewayHarness.startWithUsageWindow(1_000);
@@ -242,8 +246,9 @@
 		}
 	}
 
-	// The platform accepts one report for a window; a second with other counts is a fault
-	// that is counted against the operators. The answer to the first was lost.
+	// The platform accepts one report per window, and a second one with other counts is a
+	// fault that is counted against the operators. Here the response to the first report
+	// is lost.
 	@Test
 	void shouldRepeatReportExactlyWhenItsAnswerIsLost() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.startWithUsageWindow(1_000);
@@ -261,9 +266,9 @@
 		}
 	}
 
-	// This process stood still while another one held the duties and acted. It goes on
-	// with its old number and is refused, again and again, and its windows are never
-	// reported.
+	// This process was paused while another process held the duties and acted. It resumed
+	// with its old fencing number, was rejected on each attempt, and its windows were
+	// never reported.
 	@Test
 	void shouldTakeDutiesAnewWhenANewerHolderActed() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.startWithUsageWindow(1_000)) {
@@ -288,9 +293,9 @@
 		}
 	}
 
-	// A row of counts cannot be read: another writer, or a fault of ours. Whoever held
-	// the duties stumbled over it, and reported nothing from then on: windows without a
-	// report, through one holder after the other.
+	// A row of counts cannot be decoded, because it was corrupted or written by another
+	// program. Each holder of the duties in turn failed on it and reported no window any
+	// more.
 	@ParameterizedTest
 	@ValueSource(strings = { "gateway-9/0/1", "~sum" })
 	void shouldReportWindowsBehindOneWithUnreadableCounts(String row) throws IOException {
@@ -302,8 +307,8 @@
 		}
 	}
 
-	// The store turns one gateway away and serves the others. Its row of counts comes
-	// too late for the report, which then lacks the calls that ran there.
+	// The store rejects one gateway and serves the others. Its row of counts comes too
+	// late for the report, which then lacks the calls that ran there.
 	@Test
 	void shouldReportCallsOfGatewayThatTheStoreTurnsAway() throws IOException {
 		try (GatewayHarness holder = GatewayHarness.startWithUsageWindow(1_000);
@@ -322,10 +327,11 @@
 		}
 	}
 
-	// -- planned stops
+	// -- planned shutdown
 
-	// The VM is stopped while calls run: each must come to its end, new ones are told to
-	// come back elsewhere, and the duties go to another process at once.
+	// The VM is stopped while calls run: each of them must complete, new calls must be
+	// rejected so that they are retried elsewhere, and the duties must pass to another
+	// process immediately.
 	@Test
 	void shouldFinishCallsAndGiveDutiesBackWhenStopped() throws Exception {
 		GatewayHarness gateway = GatewayHarness.start();
@@ -355,8 +361,9 @@
 		}
 	}
 
-	// Most processes of a zone stop at once, and the balancer goes on sending callers to
-	// all of them. A call taken seconds after the signal is cut off by the kill.
+	// Most processes of a zone are stopped together, and the load balancer still sends
+	// callers to all of them. A call accepted seconds after the stop signal would be cut
+	// off by the kill.
 	@Test
 	void shouldTellToComeBackWhenCalledLongAfterStopSignal() throws Exception {
 		GatewayHarness gateway = GatewayHarness.start();
@@ -383,9 +390,9 @@
 		}
 	}
 
-	// The balancer goes on sending callers to a process that stops. A call whose timeout
-	// lies before the kill comes to its end there, is served, and is counted, although
-	// the counts were handed over before.
+	// The load balancer still sends callers to a process that is stopping. A call whose
+	// timeout ends before the kill is served, and is counted although the counts were
+	// handed over before.
 	@Test
 	void shouldServeCallsThatEndBeforeTheKill() throws Exception {
 		GatewayHarness gateway = GatewayHarness.startWithUsageWindow(60_000);
@@ -413,9 +420,9 @@
 		}
 	}
 
-	// Callers who connect to a process that stops lost their first request without an
-	// answer: connections without a request were closed every 50 ms, those made a moment
-	// ago as well. On a busy machine some of twenty wait too long all the same.
+	// Callers that connected to a stopping process lost their first request: connections
+	// without a request were closed every 50 ms, including those just opened. On a loaded
+	// machine some of the twenty still wait too long.
 	@Test
 	void shouldAnswerCallersWhoConnectWhileItStops() throws Exception {
 		GatewayHarness gateway = GatewayHarness.start();
@@ -453,8 +460,8 @@
 		}
 	}
 
-	// A process that stops has ended its calls and writes its last counts. A call that it
-	// takes meanwhile is cut off by its end, which comes as soon as they are written.
+	// A stopping process whose calls have ended writes its last counts and exits as soon
+	// as they are written, which would cut off a call accepted in the meantime.
 	@Test
 	void shouldTakeNoCallOnceItOnlyWritesItsCounts() throws Exception {
 		GatewayHarness gateway = GatewayHarness.startWithStopTime(30_000);
@@ -473,7 +480,7 @@
 		}
 	}
 
-	// The calls in the rows of use, of one organisation.
+	// Counts the calls of one organisation in the usage rows.
 	private static long counted(GatewayHarness gateway) {
 		Pattern count = Pattern.compile("\"sfax\":([0-9]+)");
 		return gateway.store.rows("usage")
@@ -485,8 +492,8 @@
 			.sum();
 	}
 
-	// A route that does not exist is 404 until then: it is asked without reaching a
-	// server.
+	// A route that does not exist gives 404 until calls are refused, so it tests this
+	// without calling a server.
 	private static boolean refuses(GatewayHarness gateway, String path) {
 		try {
 			return gateway.ask(RawCaller.get("c9", path)).status() == 503;
@@ -496,7 +503,7 @@
 		}
 	}
 
-	// The calls of one organisation in the reports of use.
+	// Counts the calls of one organisation in the usage reports.
 	private static long reported(GatewayHarness gateway) {
 		return gateway.duties.usages().stream().mapToLong((usage) -> usage.counts().getOrDefault("sfax", 0L)).sum();
 	}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FollowedTableTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FollowedTableTests.java
@@ -14,7 +14,8 @@
 
 	private final FollowedTable table = GatewayHarness.table();
 
-	// Guards against another gateway's older table that comes behind the store's news.
+	// Guards against applying another gateway's older table after newer changes from the
+	// store.
 	@Test
 	void shouldNotGoBackToOlderTable() {
 		assertThat(this.table.all(List.of(row("ready", 10)), 10)).isTrue();
@@ -31,7 +32,8 @@
 		assertThat(this.table.newerThan(10)).isEmpty();
 	}
 
-	// Guards against a row of another gateway that comes before the store's older answer.
+	// Guards against applying an older response of the store after a newer row from
+	// another gateway.
 	@Test
 	void shouldPassOverChangesKnownBefore() {
 		this.table.all(List.of(row("ready", 10)), 10);
@@ -53,8 +55,8 @@
 		assertThat(this.table.changesSince(10)).isEmpty();
 	}
 
-	// Guards against a table that one gateway reads anew and all others ask the store
-	// for.
+	// Guards against all other gateways reading the table from the store after one
+	// gateway has read it in full.
 	@Test
 	void shouldTellWhatWasFoundWhenTheTableIsReadAnew() {
 		this.table.all(List.of(row("s1", "ready", 10), row("s2", "ready", 9)), 10);
@@ -65,8 +67,9 @@
 		assertThat(changes.getLast().value()).isEmpty();
 	}
 
-	// Guards against passing over a change that should have been known: those who are
-	// told take no row for news that is older than what they know.
+	// Guards against losing a change that this copy had missed: receivers ignore rows
+	// older than their own version, so the change must not be sent as one of the recent
+	// ones.
 	@Test
 	void shouldTellNothingOfItWhenChangesWereMissedBefore() {
 		this.table.all(List.of(row("s1", "ready", 10)), 10);
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PeerExchangeTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PeerExchangeTests.java
@@ -26,7 +26,7 @@
 
 	private static final InetAddress HERE = InetAddress.getLoopbackAddress();
 
-	// Guards against telling those who are found behind the first report a second later.
+	// Guards against reaching gateways found after the first report a second late.
 	@Test
 	void shouldTellInNextReportGatewayThatWasFoundBehindTheFirst() throws Exception {
 		LoopResources loops = LoopResources.create("test", 1, true);
@@ -45,9 +45,8 @@
 		}
 	}
 
-	// Guards against a slow link that loses the end of what is sent at once: with one
-	// order,
-	// the same gateways never heard this one.
+	// Guards against a slow link that drops the end of a burst: with a fixed order, the
+	// same gateways never received a report.
 	@Test
 	void shouldReachEachGatewayWhenOnlyTheFirstHalfOfTheReportsPasses() throws Exception {
 		LoopResources loops = LoopResources.create("test", 1, true);
@@ -72,7 +71,7 @@
 		}
 	}
 
-	// A report says by its confirmation whom it is for.
+	// The confirmation in a report identifies its receiver.
 	private static List<Integer> receivers(DatagramSocket socket, int count) throws IOException {
 		List<Integer> receivers = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/QuotaSharingTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/QuotaSharingTests.java
@@ -20,17 +20,17 @@
 
 	private static final int FLOOD_MILLIS = 4_000;
 
-	// All processes are killed while the store is away, and start before it is back.
-	// Their first reading of who else is there failed, and the next one was ten seconds
-	// off: each took itself for the only gateway, and an organisation that flooded
-	// right after the store's return got its quota from every one of them.
+	// All processes are killed during an outage of the store, and start before it ends.
+	// Their first read of the table of gateways failed, and the next one was ten seconds
+	// later: each process took itself for the only gateway, and an organisation that sent
+	// a burst right after the outage got its whole quota from each of them.
 	@Test
 	void shouldHoldQuotaWhenStoreIsAwayAtTheStart() throws Exception {
 		MemoryRowStore store = new MemoryRowStore();
 		store.away(true);
 		List<GatewayHarness> fleet = GatewayHarness.startFleet(store, 3, WINDOW_MILLIS);
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
-			// Long enough for the first reading to fail.
+			// Long enough for the first read to fail.
 			Thread.sleep(500);
 			store.away(false);
 			fleet.getFirst()
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SendingTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SendingTests.java
@@ -25,8 +25,8 @@
 
 class SendingTests {
 
-	// Guards against sending to a server that said that it leaves between the choice and
-	// the sending.
+	// Guards against sending a call to a server that announced between the choice of the
+	// server and the sending that it leaves.
 	@Test
 	void shouldSendNothingToServerThatLeavesWhileTheConnectionIsMade() throws IOException {
 		LoopResources loops = LoopResources.create("test", 1, true);
@@ -51,7 +51,8 @@
 	}
 
 	/**
-	 * Sends each call to a server that leaves at that moment, and then to another one.
+	 * Sends each call first to a server that is leaving by the time of the sending, and
+	 * then to another one.
 	 */
 	private static final class LeavingPolicy implements CallPolicy {
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SharedTablesTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SharedTablesTests.java
@@ -34,7 +34,7 @@
 		this.fleet.forEach(GatewayHarness::close);
 	}
 
-	// Guards against calls to the store that grow with the gateways.
+	// Guards against calls to the store that grow with the number of gateways.
 	@Test
 	void shouldReadChangesAtFewGatewaysAndTellAll() {
 		for (int i = 0; i < 5; i++) {
@@ -45,7 +45,7 @@
 		}
 	}
 
-	// Guards against missing a row that does not fit a datagram.
+	// Guards against missing a row that does not fit into a datagram.
 	@Test
 	void shouldReadWhatIsTooLargeToBeTold() {
 		this.store.put(GatewayHarness.SERVERS, "x".repeat(900), "app 127.0.0.1:1 ready");
@@ -53,14 +53,16 @@
 		GatewayHarness.await(() -> this.store.waiting(GatewayHarness.SERVERS) == READERS);
 	}
 
-	// Guards against a store that turns away just those that read it for all.
+	// Guards against a store that rejects exactly those gateways that read it for all
+	// others.
 	@Test
 	void shouldReadForThemselvesWhenNoReaderIsLeft() {
 		List<GatewayHarness> readers = this.fleet.stream().filter(GatewayHarness::reads).toList();
 		List<GatewayHarness> others = this.fleet.stream().filter((gateway) -> !readers.contains(gateway)).toList();
 		assertThat(others).hasSize(GATEWAYS - READERS);
 		readers.forEach((gateway) -> gateway.access.deny());
-		// Questions from before they counted on others are answered by the first change.
+		// The first change completes the queries that were sent before these gateways
+		// relied on the readers.
 		this.store.put(GatewayHarness.SERVERS, "s1", "app 127.0.0.1:1 ready");
 		awaitKnown(this.fleet, "s1");
 		GatewayHarness.await(() -> others.stream().anyMatch(GatewayHarness::reads));
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SizeDutyTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SizeDutyTests.java
@@ -42,8 +42,8 @@
 		assertThat(this.duties.sizes()).containsExactly(new Size("llm", "a", 2, true), new Size("llm", "b", 2, true));
 	}
 
-	// The servers that run were given back before those that replace them served: for the
-	// time of a boot there was nobody.
+	// The running servers were released before their replacements served, which left no
+	// server during the time of a boot.
 	@Test
 	void shouldKeepServersThatRunUntilOthersServe() {
 		registerLasting();
@@ -58,9 +58,9 @@
 		assertThat(this.duties.sizes()).contains(new Size("llm", "b", 0, false));
 	}
 
-	// The servers of a service register themselves within some three seconds of the
-	// start. A plan from the first of them gave the others back, and the traffic met
-	// four servers in place of seven.
+	// The servers of a service register within about three seconds of the start. A plan
+	// made from the first of them released the others, and the traffic met four servers
+	// instead of seven.
 	@Test
 	void shouldPlanOnceNoMoreServersRegisterThemselves() {
 		for (int second = 0; second < 4; second++) {
@@ -79,8 +79,8 @@
 		assertThat(this.duties.sizes()).noneMatch((size) -> size.reclaimable() && size.servers() < 2);
 	}
 
-	// The process that holds the duties is lost in the middle of high load. Its successor
-	// had never looked at the demand, and gave the servers back that were needed.
+	// The holder of the duties is lost during high load. Its successor had never measured
+	// the demand, and released servers that were needed.
 	@Test
 	void shouldKnowNeedWhenItTakesTheDutiesOver() {
 		register("a1", "a", false);
@@ -95,7 +95,7 @@
 		assertThat(this.duties.sizes()).noneMatch((size) -> size.reclaimable() && size.servers() < 3);
 	}
 
-	// A zone is reclaimed: each second until the next look is one without its servers.
+	// A zone is reclaimed: until the next plan, each second passes without its servers.
 	@Test
 	void shouldOrderAtOnceWhenServersGo() {
 		registerLasting();
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/TableWatchTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/TableWatchTests.java
@@ -53,7 +53,7 @@
 		}
 	}
 
-	// Guards against a call for each of many changes that come together.
+	// Guards against sending one request for each of many changes that arrive together.
 	@Test
 	void shouldAskFewTimesForChangesThatComeTogether() {
 		AtomicInteger asked = new AtomicInteger();
@@ -84,9 +84,8 @@
 		assertThat(System.nanoTime() - begun).isGreaterThan(TimeUnit.MILLISECONDS.toNanos(3 * 200));
 	}
 
-	// Guards against a change that a gateway finds for itself while those who read the
-	// table
-	// for all do not see it.
+	// Guards against withholding a change that this gateway finds itself while the
+	// gateways that read the table for all do not see it.
 	@Test
 	void shouldTellChangeThatItFoundThoughItRests() {
 		MemoryRowStore store = new MemoryRowStore();
@@ -117,7 +116,7 @@
 		return new RowStore.Row(key, Optional.of("x".getBytes(StandardCharsets.UTF_8)), 5);
 	}
 
-	/** Takes news and does nothing. */
+	/** Ignores all rows. */
 	private static final class Ignoring implements TableWatch.Listener {
 
 		@Override
