--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/DutyLease.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/DutyLease.java
@@ -41,22 +41,22 @@
 	private static final Duration MARGIN = Duration.ofSeconds(1);
 
 	/** The interval between renewals: two of them may fail before the term ends. */
-	private static final Duration RENEWAL = Duration.ofMillis(1_500);
+	private static final Duration RENEWAL_INTERVAL = Duration.ofMillis(1_500);
 
 	/** The interval between reads by a process that waits for the lease. */
-	private static final Duration READING = Duration.ofMillis(2_500);
+	private static final Duration READ_INTERVAL = Duration.ofMillis(2_500);
 
 	/** The delay before a failed call is retried. */
-	private static final Duration RETRY = Duration.ofMillis(300);
+	private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
 	/**
 	 * The timeout after which the outcome of a call is unknown; a response usually takes
 	 * 4 ms.
 	 */
-	private static final Duration ANSWER = Duration.ofSeconds(1);
+	private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(1);
 
-	private static final LeaseTerms TERMS = new LeaseTerms(TERM.toNanos(), MARGIN.toNanos(), RENEWAL.toNanos(),
-			READING.toNanos(), RETRY.toNanos(), ANSWER.toNanos());
+	private static final LeaseTerms TERMS = new LeaseTerms(TERM.toNanos(), MARGIN.toNanos(), RENEWAL_INTERVAL.toNanos(),
+			READ_INTERVAL.toNanos(), RETRY_DELAY.toNanos(), RESPONSE_TIMEOUT.toNanos());
 
 	private static final String TABLE = "leases";
 
@@ -83,7 +83,7 @@
 				case LeaseCommand.Write write -> write(write);
 			}
 		}
-		noteChange(nowNanos);
+		logChange(nowNanos);
 	}
 
 	boolean mayAct(long nowNanos) {
@@ -94,7 +94,7 @@
 		return this.machine.fence();
 	}
 
-	void gateways(int count) {
+	void updateGatewayCount(int count) {
 		this.machine.processes(count);
 	}
 
@@ -103,7 +103,7 @@
 	 * suspended for a time that its monotonic clock did not count. The lease may be
 	 * acquired again with a higher fencing number.
 	 */
-	void fenced() {
+	void giveUp() {
 		this.machine.fenceSeen(this.machine.fence() + 1);
 	}
 
@@ -120,7 +120,7 @@
 		tick(nowNanos);
 	}
 
-	private void noteChange(long nowNanos) {
+	private void logChange(long nowNanos) {
 		boolean holds = this.machine.mayOrder(nowNanos);
 		if (holds != this.held) {
 			this.held = holds;
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/FollowedTable.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/FollowedTable.java
@@ -19,15 +19,15 @@
 final class FollowedTable {
 
 	/** The number of recent changes that are retained. */
-	private static final int RECENT = 64;
+	private static final int MAX_RECENT_CHANGES = 64;
 
 	private final TreeMap<String, Row> rows = new TreeMap<>();
 
 	/** The most recent changes, oldest first. */
-	private final Deque<Row> recent = new ArrayDeque<>();
+	private final Deque<Row> recentChanges = new ArrayDeque<>();
 
 	/** The version after which every change is retained. */
-	private long recentSince;
+	private long retainedSince;
 
 	private long version;
 
@@ -48,14 +48,14 @@
 	 * @return whether the copy was replaced, which a table older than the copy does not
 	 * do
 	 */
-	synchronized boolean all(List<Row> all, long tableVersion) {
+	synchronized boolean replace(List<Row> all, long tableVersion) {
 		if (tableVersion < this.version) {
 			return false;
 		}
-		TreeMap<String, Row> before = new TreeMap<>(this.rows);
+		TreeMap<String, Row> previousRows = new TreeMap<>(this.rows);
 		this.rows.clear();
 		all.forEach((row) -> this.rows.put(row.key(), row));
-		noteChanges(before, tableVersion);
+		retainChanges(previousRows, tableVersion);
 		this.version = tableVersion;
 		return true;
 	}
@@ -63,28 +63,28 @@
 	// The changes found by a full read are retained for other gateways, in order. If a
 	// row changed at or before the version of this copy, a change was missed; none are
 	// retained then, since receivers would ignore that row as older than their own copy.
-	private void noteChanges(TreeMap<String, Row> before, long tableVersion) {
-		boolean missed = this.rows.values()
+	private void retainChanges(TreeMap<String, Row> previousRows, long tableVersion) {
+		boolean missedChange = this.rows.values()
 			.stream()
-			.anyMatch((row) -> row.version() <= this.version && isNews(row, before));
-		if (this.version == 0 || missed) {
-			this.recent.clear();
-			this.recentSince = tableVersion;
+			.anyMatch((row) -> row.version() <= this.version && isChanged(row, previousRows));
+		if (this.version == 0 || missedChange) {
+			this.recentChanges.clear();
+			this.retainedSince = tableVersion;
 			return;
 		}
 		this.rows.values()
 			.stream()
 			.filter((row) -> row.version() > this.version)
 			.sorted(Comparator.comparingLong(Row::version))
-			.forEach(this::remember);
-		before.keySet()
+			.forEach(this::retain);
+		previousRows.keySet()
 			.stream()
 			.filter((key) -> !this.rows.containsKey(key))
-			.forEach((key) -> remember(new Row(key, Optional.empty(), tableVersion)));
+			.forEach((key) -> retain(new Row(key, Optional.empty(), tableVersion)));
 	}
 
-	private static boolean isNews(Row row, TreeMap<String, Row> before) {
-		return !before.containsKey(row.key()) || before.get(row.key()).version() != row.version();
+	private static boolean isChanged(Row row, TreeMap<String, Row> previousRows) {
+		return !previousRows.containsKey(row.key()) || previousRows.get(row.key()).version() != row.version();
 	}
 
 	/**
@@ -94,12 +94,12 @@
 	 * @param tableVersion the version of the store up to which the changes are complete
 	 * @return the rows that were applied
 	 */
-	synchronized List<Row> changed(List<Row> changed, long tableVersion) {
-		long known = this.version;
-		List<Row> news = changed.stream().filter((row) -> row.version() > known).toList();
-		news.forEach(this::put);
+	synchronized List<Row> apply(List<Row> changed, long tableVersion) {
+		long knownVersion = this.version;
+		List<Row> applied = changed.stream().filter((row) -> row.version() > knownVersion).toList();
+		applied.forEach(this::put);
 		this.version = Math.max(this.version, tableVersion);
-		return news;
+		return applied;
 	}
 
 	private void put(Row row) {
@@ -109,13 +109,13 @@
 		else {
 			this.rows.remove(row.key());
 		}
-		remember(row);
+		retain(row);
 	}
 
-	private void remember(Row row) {
-		this.recent.addLast(row);
-		if (this.recent.size() > RECENT) {
-			this.recentSince = this.recent.removeFirst().version();
+	private void retain(Row row) {
+		this.recentChanges.addLast(row);
+		if (this.recentChanges.size() > MAX_RECENT_CHANGES) {
+			this.retainedSince = this.recentChanges.removeFirst().version();
 		}
 	}
 
@@ -125,10 +125,10 @@
 	 * @return the rows that changed after it, or empty if not all of them are retained
 	 */
 	synchronized Optional<List<Row>> changesSince(long since) {
-		if (since < this.recentSince) {
+		if (since < this.retainedSince) {
 			return Optional.empty();
 		}
-		return Optional.of(this.recent.stream().filter((row) -> row.version() > since).toList());
+		return Optional.of(this.recentChanges.stream().filter((row) -> row.version() > since).toList());
 	}
 
 	synchronized long version() {
@@ -141,16 +141,16 @@
 
 	/**
 	 * Returns the table for a gateway whose copy may be older.
-	 * @param known the version of that gateway's copy
+	 * @param knownVersion the version of that gateway's copy
 	 * @return the whole table, or empty if this copy is not newer
 	 */
-	synchronized Optional<TableRows> newerThan(long known) {
-		if (this.version <= known) {
+	synchronized Optional<TableRows> newerThan(long knownVersion) {
+		if (this.version <= knownVersion) {
 			return Optional.empty();
 		}
 		TableRows.Builder message = TableRows.newBuilder().setVersion(this.version);
 		for (Row row : this.rows.values()) {
-			message.addRows(message(row));
+			message.addRows(encode(row));
 		}
 		return Optional.of(message.build());
 	}
@@ -160,7 +160,7 @@
 	 * @param row the row
 	 * @return the message
 	 */
-	static TableRow message(Row row) {
+	static TableRow encode(Row row) {
 		TableRow.Builder message = TableRow.newBuilder().setKey(row.key()).setVersion(row.version());
 		row.value()
 			.ifPresentOrElse((value) -> message.setValue(ByteString.copyFrom(value)), () -> message.setRemoved(true));
@@ -172,7 +172,7 @@
 	 * @param messages the encoded rows
 	 * @return the rows
 	 */
-	static List<Row> rows(List<TableRow> messages) {
+	static List<Row> decode(List<TableRow> messages) {
 		List<Row> rows = new ArrayList<>();
 		for (TableRow row : messages) {
 			Optional<byte[]> value = row.getRemoved() ? Optional.empty() : Optional.of(row.getValue().toByteArray());
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayDirectory.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayDirectory.java
@@ -24,7 +24,7 @@
 
 	static final String TABLE = "gateways";
 
-	private static final Duration ANNOUNCE_AGAIN = Duration.ofSeconds(1);
+	private static final Duration ANNOUNCE_RETRY_DELAY = Duration.ofSeconds(1);
 
 	private final RowStore rows;
 
@@ -36,9 +36,9 @@
 
 	private final ControlLoop control;
 
-	private final LongConsumer read;
+	private final LongConsumer onLoaded;
 
-	private volatile boolean known;
+	private volatile boolean loaded;
 
 	/**
 	 * Creates a directory that contains no other gateway yet.
@@ -47,17 +47,17 @@
 	 * @param peers receives the addresses of other gateways
 	 * @param fleet receives the names of gateways that may be serving
 	 * @param control the thread that {@code peers} and {@code fleet} are used on
-	 * @param read called on that thread with the current time, in nanoseconds, each time
-	 * the whole table has been read
+	 * @param onLoaded called on that thread with the current time, in nanoseconds, each
+	 * time the whole table has been read
 	 */
 	GatewayDirectory(RowStore rows, GatewaySettings settings, PeerExchange peers, Fleet fleet, ControlLoop control,
-			LongConsumer read) {
+			LongConsumer onLoaded) {
 		this.rows = rows;
 		this.settings = settings;
 		this.peers = peers;
 		this.fleet = fleet;
 		this.control = control;
-		this.read = read;
+		this.onLoaded = onLoaded;
 	}
 
 	/** Writes the address of this gateway, retrying until the store has accepted it. */
@@ -67,7 +67,7 @@
 		this.rows.commit(row).subscribe((_) -> {
 		}, (failure) -> {
 			RowLog.failed(this.settings.name(), "write", failure);
-			Mono.delay(ANNOUNCE_AGAIN).subscribe((_) -> announce());
+			Mono.delay(ANNOUNCE_RETRY_DELAY).subscribe((_) -> announce());
 		});
 	}
 
@@ -75,32 +75,32 @@
 	 * Returns whether the gateways are known.
 	 * @return true once the table has been read
 	 */
-	boolean isKnown() {
-		return this.known;
+	boolean isLoaded() {
+		return this.loaded;
 	}
 
 	@Override
 	public void all(List<Row> all, long version) {
 		this.control.post((now) -> {
-			all.forEach((row) -> found(row, now));
+			all.forEach((row) -> addGateway(row, now));
 			this.fleet.complete();
-			this.known = true;
-			this.read.accept(now);
+			this.loaded = true;
+			this.onLoaded.accept(now);
 		});
 	}
 
 	@Override
 	public void changed(List<Row> changes, long version) {
-		this.control.post((now) -> changes.forEach((row) -> found(row, now)));
+		this.control.post((now) -> changes.forEach((row) -> addGateway(row, now)));
 	}
 
-	private void found(Row row, long now) {
+	private void addGateway(Row row, long now) {
 		if (row.value().isEmpty() || row.key().equals(this.settings.name())) {
 			return;
 		}
 		String address = new String(row.value().get(), StandardCharsets.UTF_8);
 		try {
-			this.peers.found(row.key(), Addresses.parse(address));
+			this.peers.addPeer(row.key(), Addresses.parse(address));
 			this.fleet.found(row.key(), now);
 		}
 		catch (IllegalArgumentException ex) {
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayProcess.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayProcess.java
@@ -56,44 +56,44 @@
 public final class GatewayProcess implements Program.Running {
 
 	/** The maximum interval between ticks of the control thread. */
-	private static final Duration TICK = Duration.ofMillis(50);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
 
 	/**
 	 * The minimum interval between reports while other gateways wait for one, in
 	 * nanoseconds.
 	 */
-	private static final long TELL_SOON_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+	private static final long MIN_REPORT_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
 	/** The interval between runs of the duties, in nanoseconds. */
-	private static final long DUTIES_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+	private static final long DUTIES_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
 	/**
 	 * The maximum number of queued reports; more than a thousand gateways send in a
 	 * second.
 	 */
-	private static final int MOST_WAITING = 4_096;
+	private static final int MAX_QUEUED_REPORTS = 4_096;
 
 	/**
 	 * The part of the drain time that is reserved for closing and exiting, in
 	 * milliseconds.
 	 */
-	private static final long EXIT_MILLIS = 400;
+	private static final long EXIT_RESERVE_MILLIS = 400;
 
 	/**
 	 * The interval between checks for remaining work while stopping, in milliseconds.
 	 */
-	private static final long STOP_LOOK_MILLIS = 50;
+	private static final long STOP_CHECK_INTERVAL_MILLIS = 50;
 
 	private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
 	/** The number of missed heartbeats after which a server's registration expires. */
-	private static final int REGISTRATION_HEARTBEATS = 3;
+	private static final int MAX_MISSED_HEARTBEATS = 3;
 
 	/**
 	 * The factor by which the freshness limits are relaxed for tables that gateways write
 	 * themselves, since their content is also part of the reports between gateways.
 	 */
-	private static final int OWN_TABLES_LATER = 4;
+	private static final int OWN_TABLES_LIMIT_FACTOR = 4;
 
 	private final GatewaySettings settings;
 
@@ -108,7 +108,7 @@
 	private final Fleet fleet = new Fleet(this.start);
 
 	/** The sharing of quotas that was last logged. */
-	private Sharing toldSharing = Sharing.UNKNOWN;
+	private Sharing loggedSharing = Sharing.UNKNOWN;
 
 	private final UsageLedger usage;
 
@@ -140,7 +140,7 @@
 
 	private final GatewayReports reports;
 
-	private final PlatformNews news;
+	private final PlatformNews platformUpdates;
 
 	private volatile boolean stopping;
 
@@ -149,19 +149,19 @@
 	/** Whether all fields are initialised, so that the control thread may use them. */
 	private volatile boolean started;
 
-	private long toldNanos = System.nanoTime() - TELL_SOON_NANOS;
+	private long lastReportNanos = System.nanoTime() - MIN_REPORT_INTERVAL_NANOS;
 
 	/** Whether another gateway waits for a report of this one. */
-	private boolean awaited;
+	private boolean reportAwaited;
 
 	/**
 	 * Reports of other gateways that were not processed yet, in the order of arrival.
 	 */
-	private final LinkedBlockingQueue<PeerExchange.Heard> heard = new LinkedBlockingQueue<>();
+	private final LinkedBlockingQueue<PeerExchange.ReceivedReport> receivedReports = new LinkedBlockingQueue<>();
 
 	private long nextDutiesNanos = System.nanoTime();
 
-	private final PauseWatch pauses = new PauseWatch(System.nanoTime(), System.currentTimeMillis());
+	private final PauseWatch pauseWatch = new PauseWatch(System.nanoTime(), System.currentTimeMillis());
 
 	private final FollowedTable configurationTable;
 
@@ -190,11 +190,11 @@
 		this.serversTable = table(settings);
 		this.gatewaysTable = table(settings);
 		this.crashesTable = table(settings);
-		this.control = ControlLoop.start("control", TICK, this::tick);
+		this.control = ControlLoop.start("control", TICK_INTERVAL, this::tick);
 		this.crashes = new CrashRecords(platform.rows(), this.servers, this.control,
-				UsageDuty.process(settings.name(), this.start), new CrashHooks());
+				UsageDuty.processName(settings.name(), this.start), new CrashHooks());
 		this.rollouts = new Rollouts(RolloutTable.empty(settings.bounds().exposureShare()), this.servers,
-				UsageDuty.process(settings.name(), this.start), () -> ThreadLocalRandom.current().nextDouble());
+				UsageDuty.processName(settings.name(), this.start), () -> ThreadLocalRandom.current().nextDouble());
 		this.decisions = new GatewayControl(this.control, this.servers, settings, this.quotas, this.fleet, this.usage,
 				new CrashGuard(this.crashes, this.servers), this.rollouts, this.serversTable.freshness(),
 				this::catchUp);
@@ -202,39 +202,39 @@
 		EventLoop io = loops.onServer(false).next();
 		this.gateway = Gateway.open(io, settings.callers(), platform.calls(), this.decisions, this.metrics);
 		this.tables = new SharedTables(platform.rows(), new PeerTables(loops, () -> this.tableAddresses));
-		this.peers = PeerExchange.open(io, settings.peers(), settings.name(), this.start, this::heard);
+		this.peers = PeerExchange.open(io, settings.peers(), settings.name(), this.start, this::enqueueReport);
 		this.directory = new GatewayDirectory(platform.rows(), settings, this.peers, this.fleet, this.control,
-				this::gatewaysRead);
-		this.news = new PlatformNews(platform.records(), this.control, this.servers, this.decisions, this.rollouts,
-				this.serversTable.freshness(), this::serverStartedAgain,
+				this::gatewaysLoaded);
+		this.platformUpdates = new PlatformNews(platform.records(), this.control, this.servers, this.decisions,
+				this.rollouts, this.serversTable.freshness(), this::serverRestarted,
 				() -> this.metrics.count("servers.unreadable"));
 		this.lease = new DutyLease(platform.rows(), settings.name(), this.start, this::onControl);
 		this.usageDuty = new UsageDuty(platform.rows(), platform.duties(), settings, this::onControl,
-				this.lease::fenced);
+				this.lease::giveUp);
 		this.rolloutDuty = new RolloutDuty(platform.rows(), platform.records(), this.rollouts, this.servers,
 				this::onControl);
 		this.reports = new GatewayReports(this.peers, this.fleet, this.servers, this.quotas, this.decisions, this.usage,
 				this.usageDuty, this.crashes, this.lease, this.tables, this.rollouts, this.rolloutDuty, settings);
 		this.sizeDuty = new SizeDuty(this.servers,
 				(service) -> this.decisions.dispatcher().model(service).tokensPerMilli(), this.rollouts::counts,
-				platform.duties(), settings.zones(), this::onControl, this.lease::fenced);
+				platform.duties(), settings.zones(), this::onControl, this.lease::giveUp);
 		this.metrics.gauge("log.dropped", EventLog::dropped);
 		this.metrics.gauge("control.lag.millis", () -> this.control.lagNanos() / NANOS_PER_MILLI);
-		this.metrics.gauge("servers.proven.millis", () -> provenMillis(this.serversTable));
-		this.metrics.gauge("configuration.proven.millis", () -> provenMillis(this.configurationTable));
+		this.metrics.gauge("servers.proven.millis", () -> confirmationAgeMillis(this.serversTable));
+		this.metrics.gauge("configuration.proven.millis", () -> confirmationAgeMillis(this.configurationTable));
 		this.metrics.gauge("requests.held", this.crashes::heldCount);
 		// Opened last, because its requests use all other components.
 		this.admin = AdminServer.open(loops, settings, this::isReady, this.metrics.registry(),
 				Map.of(platform.records().configuration().table(), this.configurationTable,
 						platform.records().servers(), this.serversTable, GatewayDirectory.TABLE, this.gatewaysTable,
 						CrashRows.TABLE, this.crashesTable),
-				new OperatorsView());
+				new QuarantineOperations());
 	}
 
 	// A registration expires with the third missed heartbeat, the first of which may have
 	// been due immediately after the last freshness confirmation.
 	private static FollowedTable table(GatewaySettings settings) {
-		long outageNanos = (REGISTRATION_HEARTBEATS - 1) * settings.bounds().heartbeatMillis() * NANOS_PER_MILLI;
+		long outageNanos = (MAX_MISSED_HEARTBEATS - 1) * settings.bounds().heartbeatMillis() * NANOS_PER_MILLI;
 		return new FollowedTable(Freshness.unproven(outageNanos));
 	}
 
@@ -247,7 +247,7 @@
 	 */
 	public static GatewayProcess start(GatewaySettings settings, Platform platform, LoopResources loops) {
 		GatewayProcess process = new GatewayProcess(settings, platform, loops);
-		process.follow();
+		process.followTables();
 		return process;
 	}
 
@@ -259,62 +259,63 @@
 	}
 
 	// Counts this gateway and the live gateways whose tables it may read.
-	int living() {
+	int liveGateways() {
 		return 1 + this.tableAddresses.size();
 	}
 
-	boolean knows(String server) {
-		return askControl(() -> this.servers.find(server).isPresent());
+	boolean knowsServer(String server) {
+		return callOnControl(() -> this.servers.find(server).isPresent());
 	}
 
 	// Returns whether this gateway reads the tables from the store itself.
 	boolean readsTables() {
-		return askControl(() -> this.tables.role().reads());
+		return callOnControl(() -> this.tables.role().reads());
 	}
 
 	// Returns the coefficients of a service's latency model that were learned from calls.
-	List<Double> learned(String service) {
-		return askControl(() -> this.decisions.dispatcher().model(service).learned());
+	List<Double> learnedRates(String service) {
+		return callOnControl(() -> this.decisions.dispatcher().model(service).learned());
 	}
 
-	private static long provenMillis(FollowedTable table) {
+	private static long confirmationAgeMillis(FollowedTable table) {
 		OptionalLong age = table.freshness().ageNanos(System.nanoTime());
 		return age.isPresent() ? age.getAsLong() / NANOS_PER_MILLI : -1;
 	}
 
-	private <T> T askControl(Supplier<T> question) {
-		return onControl((_) -> question.get()).join();
+	private <T> T callOnControl(Supplier<T> query) {
+		return onControl((_) -> query.get()).join();
 	}
 
-	private <T> CompletableFuture<T> onControl(Function<Long, T> question) {
-		CompletableFuture<T> answer = new CompletableFuture<>();
-		this.control.post((now) -> answer.complete(question.apply(now)));
-		return answer;
+	private <T> CompletableFuture<T> onControl(Function<Long, T> query) {
+		CompletableFuture<T> result = new CompletableFuture<>();
+		this.control.post((now) -> result.complete(query.apply(now)));
+		return result;
 	}
 
 	private boolean isReady() {
-		return this.news.isComplete() && this.directory.isKnown() && this.crashes.isKnown() && !this.stopping;
+		return this.platformUpdates.isComplete() && this.directory.isLoaded() && this.crashes.isKnown()
+				&& !this.stopping;
 	}
 
 	// -- changes from the platform
 
-	private void follow() {
+	private void followTables() {
 		FreshnessLimits soon = FreshnessLimits.within(this.settings.bounds().changeMillis());
-		FreshnessLimits later = FreshnessLimits.usual().times(OWN_TABLES_LATER);
+		FreshnessLimits later = FreshnessLimits.usual().times(OWN_TABLES_LIMIT_FACTOR);
 		this.tables.follow(this.platform.records().configuration().table(), this.configurationTable, soon,
-				this.news.configuration());
-		this.tables.follow(this.platform.records().servers(), this.serversTable, soon, this.news.servers());
+				this.platformUpdates.configuration());
+		this.tables.follow(this.platform.records().servers(), this.serversTable, soon, this.platformUpdates.servers());
 		this.tables.follow(GatewayDirectory.TABLE, this.gatewaysTable, later, this.directory);
 		this.tables.follow(CrashRows.TABLE, this.crashesTable, later, this.crashes.listener());
 		this.directory.announce();
 		// The time that construction took must not count as a pause of the process.
-		this.pauses.look(System.nanoTime(), System.currentTimeMillis());
+		this.pauseWatch.look(System.nanoTime(), System.currentTimeMillis());
 		this.started = true;
 	}
 
-	private void gatewaysRead(long now) {
+	private void gatewaysLoaded(long now) {
 		this.decisions.gateways(this.fleet.serving(now));
-		this.awaited = true;
+		this.reportAwaited = true;
 	}
 
 	// -- the control thread
@@ -326,31 +327,32 @@
 	// Most reports wait for the next tick: with a hundred gateways, waking the control
 	// thread for each of them would be expensive. Reports of crashes are processed
 	// immediately.
-	private void heard(PeerExchange.Heard heard) {
+	private void enqueueReport(PeerExchange.ReceivedReport received) {
 		if (!this.started) {
 			return;
 		}
-		if (this.heard.size() < MOST_WAITING) {
-			this.heard.add(heard);
+		if (this.receivedReports.size() < MAX_QUEUED_REPORTS) {
+			this.receivedReports.add(received);
 		}
 		else {
 			this.metrics.count("reports.dropped");
 		}
-		if (heard.report().getCrashesCount() > 0) {
-			this.control.post(this::takeHeard);
+		if (received.report().getCrashesCount() > 0) {
+			this.control.post(this::processReports);
 		}
 	}
 
-	private void takeHeard(long now) {
-		for (PeerExchange.Heard next = this.heard.poll(); next != null; next = this.heard.poll()) {
-			this.awaited |= this.reports.heard(next, now);
+	private void processReports(long now) {
+		for (PeerExchange.ReceivedReport next = this.receivedReports.poll(); next != null; next = this.receivedReports
+			.poll()) {
+			this.reportAwaited |= this.reports.receive(next, now);
 		}
 	}
 
 	// Decisions must include all reports that were received before them.
 	private void catchUp(long now) {
-		notePause(now);
-		takeHeard(now);
+		handlePause(now);
+		processReports(now);
 	}
 
 	private void tick(long now) {
@@ -367,25 +369,25 @@
 		}
 		this.crashes.tick(now);
 		this.tables.tick(now);
-		this.awaited |= this.crashes.isUrgent() || this.tables.isUrgent(now);
-		if (now - this.toldNanos >= (this.awaited ? TELL_SOON_NANOS : this.fleet.reportNanos())) {
-			this.toldNanos = now;
-			this.awaited = false;
-			this.reports.tell(false, now);
+		this.reportAwaited |= this.crashes.isUrgent() || this.tables.isUrgent(now);
+		if (now - this.lastReportNanos >= (this.reportAwaited ? MIN_REPORT_INTERVAL_NANOS : this.fleet.reportNanos())) {
+			this.lastReportNanos = now;
+			this.reportAwaited = false;
+			this.reports.send(false, now);
 		}
 		if (now - this.nextDutiesNanos >= 0) {
-			this.nextDutiesNanos = now + DUTIES_NANOS;
-			duties(now);
+			this.nextDutiesNanos = now + DUTIES_INTERVAL_NANOS;
+			runDuties(now);
 		}
 	}
 
-	private void serverStartedAgain() {
+	private void serverRestarted() {
 		this.gateway.retainServers(this.decisions.knownServers());
 		this.decisions.dropCallsOfEarlierStarts();
 	}
 
-	private void notePause(long now) {
-		switch (this.pauses.look(now, System.currentTimeMillis())) {
+	private void handlePause(long now) {
+		switch (this.pauseWatch.look(now, System.currentTimeMillis())) {
 			case Finding.Running _ -> {
 			}
 			case Finding.Paused paused -> {
@@ -398,44 +400,44 @@
 						suspended.monotonicMillis());
 				// Another process may hold the lease by now, and received reports are out
 				// of date.
-				this.lease.fenced();
+				this.lease.giveUp();
 				this.fleet.forgetConfirmations();
 				this.tables.paused(now);
 			}
 		}
 	}
 
-	private void noteSharing(long now) {
+	private void logSharing(long now) {
 		Sharing sharing = this.fleet.sharing(now);
-		if (!sharing.hasGroupOf(this.toldSharing)) {
+		if (!sharing.hasGroupOf(this.loggedSharing)) {
 			EventLog.info(GatewayEvents.QUOTA_SHARING, "gateways", sharing.group(), "of", sharing.members(), "agreed",
 					sharing.agreed());
 		}
-		this.toldSharing = sharing;
+		this.loggedSharing = sharing;
 	}
 
-	private void duties(long now) {
-		this.reports.noteSilent(now);
+	private void runDuties(long now) {
+		this.reports.handleTimeouts(now);
 		this.tableAddresses = this.peers.tableAddresses(this.fleet::isLiving);
 		this.decisions.gateways(this.fleet.serving(now));
 		this.tables.role(this.fleet.role(this.settings.name(), now));
-		noteSharing(now);
-		this.lease.gateways(this.fleet.living());
+		logSharing(now);
+		this.lease.updateGatewayCount(this.fleet.living());
 		this.lease.tick(now);
 		long epochMillis = System.currentTimeMillis();
-		this.usageDuty.closed(this.usage.close(epochMillis), this.start);
+		this.usageDuty.addClosedWindows(this.usage.close(epochMillis), this.start);
 		this.usageDuty.tick(epochMillis);
-		Optional<TrafficConfiguration> known = this.decisions.configuration();
-		if (known.isEmpty() || !this.news.isComplete()) {
+		Optional<TrafficConfiguration> configuration = this.decisions.configuration();
+		if (configuration.isEmpty() || !this.platformUpdates.isComplete()) {
 			return;
 		}
-		this.sizeDuty.look(known.get(), this.reports.readingTokens(), now);
+		this.sizeDuty.updatePlans(configuration.get(), this.reports.prefillTokens(), now);
 		if (this.lease.mayAct(now) && !this.stopping) {
 			Set<String> organisations = new HashSet<>();
-			known.get().organisations().stream().map(Organisation::name).forEach(organisations::add);
+			configuration.get().organisations().stream().map(Organisation::name).forEach(organisations::add);
 			this.crashes.tidy(epochMillis);
 			this.usageDuty.act(this.lease.fence(), epochMillis, organisations);
-			this.sizeDuty.act(this.lease.fence(), known.get(), now);
+			this.sizeDuty.act(this.lease.fence(), configuration.get(), now);
 			this.rolloutDuty.act(epochMillis, now);
 		}
 		else {
@@ -447,41 +449,41 @@
 
 	@Override
 	public void close() {
-		long begun = System.nanoTime();
+		long startNanos = System.nanoTime();
 		this.stopping = true;
-		long most = this.settings.bounds().drainMillis() - EXIT_MILLIS;
-		StopTimes times = StopTimes.of(begun, this.settings.bounds().balancerMillis(), most);
+		long limitMillis = this.settings.bounds().drainMillis() - EXIT_RESERVE_MILLIS;
+		StopTimes times = StopTimes.of(startNanos, this.settings.bounds().balancerMillis(), limitMillis);
 		this.decisions.stop(times);
 		this.gateway.closeIdle();
 		// This process no longer acts as the holder, so a successor does not have to wait
 		// until the last calls have ended.
 		this.control.post(this.lease::release);
-		boolean left = false;
-		boolean counted = false;
-		while (passedMillis(begun) < most) {
-			if (passedMillis(begun) >= this.settings.bounds().balancerMillis()) {
-				if (!left) {
-					left = true;
-					leave();
+		boolean handedOver = false;
+		boolean countsWritten = false;
+		while (elapsedMillis(startNanos) < limitMillis) {
+			if (elapsedMillis(startNanos) >= this.settings.bounds().balancerMillis()) {
+				if (!handedOver) {
+					handedOver = true;
+					handOver();
 				}
 				this.gateway.closeIdle();
 				boolean idle = this.gateway.isIdle();
-				if (idle && counted && this.usageDuty.isWritten()) {
+				if (idle && countsWritten && this.usageDuty.isWritten()) {
 					break;
 				}
-				if (idle && !counted) {
+				if (idle && !countsWritten) {
 					// A call accepted from now on would be cut off when the process
 					// exits.
 					this.decisions.stop(times.endingAt(System.nanoTime()));
-					counted = true;
+					countsWritten = true;
 					writeCounts();
 				}
 			}
-			sleep(STOP_LOOK_MILLIS);
+			sleep(STOP_CHECK_INTERVAL_MILLIS);
 		}
-		if (!counted) {
+		if (!countsWritten) {
 			writeCounts();
-			sleep(STOP_LOOK_MILLIS);
+			sleep(STOP_CHECK_INTERVAL_MILLIS);
 		}
 		this.gateway.close();
 		this.tables.close();
@@ -492,17 +494,17 @@
 	}
 
 	// Hands over the counts so far while the last calls are still running.
-	private void leave() {
+	private void handOver() {
 		writeCounts();
-		this.control.post((now) -> this.reports.tell(true, now));
+		this.control.post((now) -> this.reports.send(true, now));
 	}
 
 	private void writeCounts() {
-		this.control.post((_) -> this.usageDuty.closed(this.usage.closeAll(), this.start));
+		this.control.post((_) -> this.usageDuty.addClosedWindows(this.usage.closeAll(), this.start));
 	}
 
-	private static long passedMillis(long begun) {
-		return (System.nanoTime() - begun) / NANOS_PER_MILLI;
+	private static long elapsedMillis(long startNanos) {
+		return (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
 	}
 
 	private static void sleep(long millis) {
@@ -535,7 +537,7 @@
 	}
 
 	/** Lists quarantined requests for an operator, and releases them. */
-	private final class OperatorsView implements AdminServer.HeldRequests {
+	private final class QuarantineOperations implements AdminServer.HeldRequests {
 
 		@Override
 		public Mono<List<AdminServer.HeldRequest>> list() {
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayReports.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayReports.java
@@ -37,7 +37,7 @@
 final class GatewayReports {
 
 	/** Slowly changing values are included in one of this many reports. */
-	private static final int REPORTS_PER_SPEEDS = 4;
+	private static final int SPEED_REPORT_INTERVAL = 4;
 
 	private final PeerExchange peers;
 
@@ -68,9 +68,9 @@
 	private final int adminPort;
 
 	/** The prompt tokens last reported by each start of another gateway. */
-	private final Map<String, Long> othersReading = new HashMap<>();
+	private final Map<String, Long> reportedPrefillTokens = new HashMap<>();
 
-	private long othersReadingTotal;
+	private long otherPrefillTokens;
 
 	GatewayReports(PeerExchange peers, Fleet fleet, BackendTable servers, QuotaTable quotas, GatewayControl decisions,
 			UsageLedger usage, UsageDuty usageDuty, CrashRecords crashes, DutyLease lease, SharedTables tables,
@@ -96,7 +96,7 @@
 	 * @param leaving whether this is the last report of this gateway
 	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
-	void tell(boolean leaving, long now) {
+	void send(boolean leaving, long now) {
 		Window window = this.usage.current(System.currentTimeMillis());
 		GatewayReport.Builder report = GatewayReport.newBuilder().setWindow(window.index());
 		this.quotas.used(now)
@@ -107,7 +107,7 @@
 						.setAsked(Math.round(use.asked()))
 						.setBegun(window.counts().getOrDefault(name, 0L).intValue())));
 		report.setFresh(this.quotas.isFresh(now)).setGroup(this.fleet.group(now));
-		this.usageDuty.handover()
+		this.usageDuty.rowsToHandOver()
 			.forEach((row) -> report.addUnwritten(UnwrittenUse.newBuilder()
 				.setWindow(row.window())
 				.setRow(row.row())
@@ -116,15 +116,15 @@
 		report.addAllCrashes(this.crashes.news(now));
 		report.setDutyFence(this.lease.mayAct(now) ? this.lease.fence() : 0)
 			.setReadsTables(this.tables.isReading(now))
-			.addAllTables(this.tables.news(now));
+			.addAllTables(this.tables.updates(now));
 		int number = this.peers.nextNumber();
-		if (number % REPORTS_PER_SPEEDS == 1) {
+		if (number % SPEED_REPORT_INTERVAL == 1) {
 			addSpeeds(report);
 		}
 		report.setReadingTokens(this.decisions.readingTokens()).setLeaving(leaving).setAdminPort(this.adminPort);
 		report.addAllRollouts(this.rollouts
 			.news((service) -> this.lease.mayAct(now) ? this.rolloutDuty.phase(service) : Optional.empty(), now));
-		this.peers.tell(report, this.fleet::isLiving, (gateway) -> this.fleet.confirmation(gateway, now));
+		this.peers.broadcast(report, this.fleet::isLiving, (gateway) -> this.fleet.confirmation(gateway, now));
 		this.fleet.told(number, now);
 		this.quotas.told(number, now);
 	}
@@ -140,79 +140,79 @@
 
 	private void addServers(GatewayReport.Builder report) {
 		Map<BackendServer.Start, BackendUse> uses = this.servers.ownUse();
-		Map<BackendServer.Start, List<SharedParts.Part>> parts = this.servers.partsToTell();
-		Set<BackendServer.Start> named = new HashSet<>(uses.keySet());
-		named.addAll(parts.keySet());
-		for (BackendServer.Start server : named) {
+		Map<BackendServer.Start, List<SharedParts.Part>> segments = this.servers.partsToTell();
+		Set<BackendServer.Start> starts = new HashSet<>(uses.keySet());
+		starts.addAll(segments.keySet());
+		for (BackendServer.Start server : starts) {
 			BackendUse use = uses.getOrDefault(server, BackendUse.NONE);
-			ServerUse.Builder told = report.addServersBuilder()
+			ServerUse.Builder serverUse = report.addServersBuilder()
 				.setServer(server.id())
 				.setStartedMillis(server.startedMillis())
 				.setCalls(use.calls())
 				.setUnreadTokens((int) use.unreadTokens());
-			parts.getOrDefault(server, List.of())
-				.forEach((part) -> told.addParts(part.chain()).addPartTokens(part.tokens()));
+			segments.getOrDefault(server, List.of())
+				.forEach((segment) -> serverUse.addParts(segment.chain()).addPartTokens(segment.tokens()));
 		}
 	}
 
 	/**
 	 * Processes the report of another gateway.
-	 * @param heard the report
+	 * @param received the report
 	 * @param now the current time on the monotonic clock, in nanoseconds
 	 * @return whether its sender waits for the next report of this gateway
 	 */
-	boolean heard(PeerExchange.Heard heard, long now) {
-		GatewayReport report = heard.report();
+	boolean receive(PeerExchange.ReceivedReport received, long now) {
+		GatewayReport report = received.report();
 		String gateway = report.getGateway();
 		if (gateway.equals(this.self)) {
 			return false;
 		}
-		boolean known = this.fleet.isLiving(gateway);
-		Hearing hearing = this.fleet.heard(fleetReport(report), now);
-		if (hearing == Hearing.LATE) {
+		boolean wasLive = this.fleet.isLiving(gateway);
+		Hearing status = this.fleet.heard(fleetReport(report), now);
+		if (status == Hearing.LATE) {
 			return false;
 		}
-		this.peers.heard(heard);
-		if (!known) {
-			EventLog.info(GatewayEvents.PEER_HEARD, "gateway", gateway, "from", heard.from());
+		this.peers.updateSender(received);
+		if (!wasLive) {
+			EventLog.info(GatewayEvents.PEER_HEARD, "gateway", gateway, "from", received.from());
 		}
-		take(report, heard.from().getAddress(), now);
-		return hearing == Hearing.FIRST && !this.peers.repeat(gateway, this.fleet.confirmation(gateway, now));
+		apply(report, received.from().getAddress(), now);
+		return status == Hearing.FIRST && !this.peers.resend(gateway, this.fleet.confirmation(gateway, now));
 	}
 
-	private void take(GatewayReport report, InetAddress from, long now) {
-		String process = UsageDuty.process(report.getGateway(), report.getStart());
-		Map<String, Long> begun = new HashMap<>();
+	private void apply(GatewayReport report, InetAddress from, long now) {
+		String process = UsageDuty.processName(report.getGateway(), report.getStart());
+		Map<String, Long> startedCalls = new HashMap<>();
 		Map<String, Use> used = new HashMap<>();
 		report.getOrganisationsList().forEach((use) -> {
 			used.put(use.getOrganisation(), new Use(use.getUnits(), use.getAsked(), report.getFresh()));
-			begun.put(use.getOrganisation(), (long) use.getBegun());
+			startedCalls.put(use.getOrganisation(), (long) use.getBegun());
 		});
 		this.quotas.usedByOther(process, used, now);
 		this.servers.othersAt(report.getGateway(), report.getLeaving() ? Map.of() : uses(report));
-		report.getServersList().forEach(this::heardParts);
+		report.getServersList().forEach(this::receiveSegments);
 		this.crashes.heard(report.getGateway(), report.getCrashesList(), now);
-		this.tables.heard(report.getTablesList(), new InetSocketAddress(from, report.getAdminPort()), now);
+		this.tables.receive(report.getTablesList(), new InetSocketAddress(from, report.getAdminPort()), now);
 		this.rollouts.heard(process, report.getRolloutsList(), now);
 		if (report.getDutyFence() > 0) {
 			this.lease.heldElsewhere(now);
 		}
 		report.getSpeedsList()
 			.forEach((speed) -> this.decisions.dispatcher().model(speed.getService()).adopt(speed.getRatesList()));
-		this.usageDuty.heardUnderWay(report.getWindow(), process, begun);
+		this.usageDuty.receiveCurrentCounts(report.getWindow(), process, startedCalls);
 		report.getUnwrittenList()
-			.forEach((row) -> this.usageDuty.heardUnwritten(row.getWindow(), row.getRow(),
+			.forEach((row) -> this.usageDuty.receiveUnwritten(row.getWindow(), row.getRow(),
 					row.getCounts().toByteArray()));
-		long before = this.othersReading.getOrDefault(process, report.getReadingTokens());
-		this.othersReadingTotal += Math.max(0, report.getReadingTokens() - before);
-		this.othersReading.put(process, report.getReadingTokens());
+		long before = this.reportedPrefillTokens.getOrDefault(process, report.getReadingTokens());
+		this.otherPrefillTokens += Math.max(0, report.getReadingTokens() - before);
+		this.reportedPrefillTokens.put(process, report.getReadingTokens());
 	}
 
 	/**
 	 * Logs gateways whose reports timed out and removes their load from the servers.
 	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
-	void noteSilent(long now) {
+	void handleTimeouts(long now) {
 		for (String gateway : this.fleet.fallenSilent(now)) {
 			EventLog.info(GatewayEvents.PEER_SILENT, "gateway", gateway);
 			this.servers.othersAt(gateway, Map.of());
@@ -226,17 +226,17 @@
 				report.getGroup(), report.getReadsTables(), confirmed);
 	}
 
-	private void heardParts(ServerUse use) {
+	private void receiveSegments(ServerUse use) {
 		int count = Math.min(use.getPartsCount(), use.getPartTokensCount());
 		if (count == 0) {
 			return;
 		}
-		List<SharedParts.Part> parts = new ArrayList<>();
+		List<SharedParts.Part> segments = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
-			parts.add(new SharedParts.Part(use.getParts(i), use.getPartTokens(i)));
+			segments.add(new SharedParts.Part(use.getParts(i), use.getPartTokens(i)));
 		}
 		this.servers.find(use.getServer())
-			.ifPresent((server) -> this.servers.othersRead(start(use), parts,
+			.ifPresent((server) -> this.servers.othersRead(start(use), segments,
 					this.decisions.memoryTokens(server.service())));
 	}
 
@@ -249,8 +249,8 @@
 	 * gateway started.
 	 * @return the number of tokens
 	 */
-	double readingTokens() {
-		return this.decisions.readingTokens() + (double) this.othersReadingTotal;
+	double prefillTokens() {
+		return this.decisions.readingTokens() + (double) this.otherPrefillTokens;
 	}
 
 	private static Map<BackendServer.Start, BackendUse> uses(GatewayReport report) {
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PeerExchange.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PeerExchange.java
@@ -31,21 +31,21 @@
 final class PeerExchange implements AutoCloseable {
 
 	/** The interval between reads of received reports; no longer than a tick. */
-	private static final Duration READ_PAUSE = Duration.ofMillis(50);
+	private static final Duration READ_INTERVAL = Duration.ofMillis(50);
 
 	/**
 	 * Gateways that have reported before but are not live are sent one of this many
 	 * reports.
 	 */
-	private static final int REPORTS_PER_KNOCK = 4;
+	private static final int UNRESPONSIVE_REPORT_INTERVAL = 4;
 
 	/**
 	 * The fractional parts of its multiples are spread evenly over the unit interval, for
 	 * any number of multiples.
 	 */
-	private static final double GOLDEN_SECTION = 0.618_033_988_749_895;
+	private static final double GOLDEN_RATIO_CONJUGATE = 0.618_033_988_749_895;
 
-	private static final byte[] NOTHING = {};
+	private static final byte[] EMPTY = {};
 
 	private final String self;
 
@@ -58,7 +58,7 @@
 	private int number;
 
 	/** The last report without its confirmation; empty before the first report. */
-	private byte[] last = NOTHING;
+	private byte[] lastReport = EMPTY;
 
 	private PeerExchange(String self, int start, UdpSocket socket) {
 		this.self = self;
@@ -76,8 +76,8 @@
 	 * @return the exchange
 	 */
 	static PeerExchange open(EventLoop loop, InetSocketAddress address, String self, int start,
-			Consumer<Heard> receiver) {
-		UdpSocket socket = UdpSocket.openPaced(loop, address, READ_PAUSE,
+			Consumer<ReceivedReport> receiver) {
+		UdpSocket socket = UdpSocket.openPaced(loop, address, READ_INTERVAL,
 				(from, bytes) -> received(from, bytes, receiver));
 		return new PeerExchange(self, start, socket);
 	}
@@ -89,7 +89,7 @@
 	 * @param gateway the name of the gateway
 	 * @param address the address that receives its reports
 	 */
-	void found(String gateway, InetSocketAddress address) {
+	void addPeer(String gateway, InetSocketAddress address) {
 		if (!gateway.equals(this.self)) {
 			this.peers.computeIfAbsent(gateway, (_) -> new Peer()).address = address;
 		}
@@ -106,29 +106,33 @@
 	/**
 	 * Sends a report to the other gateways.
 	 * @param report the report, without its sender
-	 * @param living tests whether a gateway is live
+	 * @param isLive tests whether a gateway is live
 	 * @param confirmation returns the confirmation to include in the report to a gateway
 	 */
-	void tell(GatewayReport.Builder report, Predicate<String> living,
+	void broadcast(GatewayReport.Builder report, Predicate<String> isLive,
 			Function<String, Optional<Confirmation>> confirmation) {
 		this.number++;
-		this.last = report.setGateway(this.self).setStart(this.start).setNumber(this.number).build().toByteArray();
-		boolean knocks = this.number % REPORTS_PER_KNOCK == 1;
+		this.lastReport = report.setGateway(this.self)
+			.setStart(this.start)
+			.setNumber(this.number)
+			.build()
+			.toByteArray();
+		boolean includesUnresponsive = this.number % UNRESPONSIVE_REPORT_INTERVAL == 1;
 		List<Datagram> datagrams = new ArrayList<>();
 		this.peers.forEach((gateway, peer) -> {
-			if (knocks || !peer.heard || living.test(gateway)) {
+			if (includesUnresponsive || !peer.hasReported || isLive.test(gateway)) {
 				datagrams.add(datagram(peer, confirmation.apply(gateway)));
 			}
 		});
-		Collections.rotate(datagrams, first(this.number, datagrams.size()));
+		Collections.rotate(datagrams, firstIndex(this.number, datagrams.size()));
 		this.socket.send(datagrams);
 	}
 
 	// A slow link drops the end of a burst. Each report therefore starts at another
 	// gateway, so that the dropped end is far from those of the previous reports.
-	private static int first(int number, int count) {
-		double part = number * GOLDEN_SECTION;
-		return (int) ((part - Math.floor(part)) * count);
+	private static int firstIndex(int number, int count) {
+		double product = number * GOLDEN_RATIO_CONJUGATE;
+		return (int) ((product - Math.floor(product)) * count);
 	}
 
 	/**
@@ -137,8 +141,8 @@
 	 * @param confirmation the confirmation to include
 	 * @return false if no report has been sent yet
 	 */
-	boolean repeat(String gateway, Optional<Confirmation> confirmation) {
-		if (this.last.length == 0) {
+	boolean resend(String gateway, Optional<Confirmation> confirmation) {
+		if (this.lastReport.length == 0) {
 			return false;
 		}
 		this.socket.send(List.of(datagram(this.peers.get(gateway), confirmation)));
@@ -148,10 +152,10 @@
 	// Concatenated Protobuf messages decode as one merged message: the common part is
 	// encoded once, and each report carries only the confirmation for its receiver.
 	private Datagram datagram(Peer peer, Optional<Confirmation> confirmation) {
-		return new Datagram(peer.address, this.last, confirmation.map(PeerExchange::encoded).orElse(NOTHING));
+		return new Datagram(peer.address, this.lastReport, confirmation.map(PeerExchange::encode).orElse(EMPTY));
 	}
 
-	private static byte[] encoded(Confirmation confirmation) {
+	private static byte[] encode(Confirmation confirmation) {
 		try {
 			int size = CodedOutputStream.computeFixed32Size(GatewayReport.HEARD_START_FIELD_NUMBER,
 					confirmation.start())
@@ -170,9 +174,9 @@
 
 	// -- receiving
 
-	private static void received(InetSocketAddress from, byte[] bytes, Consumer<Heard> receiver) {
+	private static void received(InetSocketAddress from, byte[] bytes, Consumer<ReceivedReport> receiver) {
 		try {
-			receiver.accept(new Heard(from, GatewayReport.parseFrom(bytes)));
+			receiver.accept(new ReceivedReport(from, GatewayReport.parseFrom(bytes)));
 		}
 		catch (InvalidProtocolBufferException ex) {
 			EventLog.warn(GatewayEvents.DATAGRAM_UNREADABLE, "from", from, "cause", ex.getMessage());
@@ -181,24 +185,24 @@
 
 	/**
 	 * Updates the addresses of a report's sender.
-	 * @param heard the report
+	 * @param received the report
 	 */
-	void heard(Heard heard) {
-		Peer peer = this.peers.computeIfAbsent(heard.report().getGateway(), (_) -> new Peer());
-		peer.heard = true;
-		peer.address = heard.from();
-		peer.adminPort = heard.report().getAdminPort();
+	void updateSender(ReceivedReport received) {
+		Peer peer = this.peers.computeIfAbsent(received.report().getGateway(), (_) -> new Peer());
+		peer.hasReported = true;
+		peer.address = received.from();
+		peer.adminPort = received.report().getAdminPort();
 	}
 
 	/**
 	 * Returns the addresses at which live gateways serve their tables.
-	 * @param living tests whether a gateway is live
+	 * @param isLive tests whether a gateway is live
 	 * @return the addresses
 	 */
-	List<InetSocketAddress> tableAddresses(Predicate<String> living) {
+	List<InetSocketAddress> tableAddresses(Predicate<String> isLive) {
 		List<InetSocketAddress> addresses = new ArrayList<>();
 		this.peers.forEach((gateway, peer) -> {
-			if (peer.adminPort > 0 && living.test(gateway)) {
+			if (peer.adminPort > 0 && isLive.test(gateway)) {
 				addresses.add(new InetSocketAddress(peer.address.getAddress(), peer.adminPort));
 			}
 		});
@@ -216,7 +220,7 @@
 	 * @param from the address
 	 * @param report the report
 	 */
-	record Heard(InetSocketAddress from, GatewayReport report) {
+	record ReceivedReport(InetSocketAddress from, GatewayReport report) {
 	}
 
 	/** The addresses of another gateway. */
@@ -225,7 +229,7 @@
 		private InetSocketAddress address;
 
 		/** Whether a report of this gateway was ever received. */
-		private boolean heard;
+		private boolean hasReported;
 
 		/** The port that serves its tables; 0 before its first report was received. */
 		private int adminPort;
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PeerTables.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PeerTables.java
@@ -24,9 +24,9 @@
 final class PeerTables {
 
 	/** The timeout of a request; the next attempt may use another gateway. */
-	private static final Duration ANSWER = Duration.ofMillis(400);
+	private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(400);
 
-	private static final int CONNECT_MILLIS = 200;
+	private static final int CONNECT_TIMEOUT_MILLIS = 200;
 
 	private final HttpClient client;
 
@@ -43,34 +43,34 @@
 		this.client = HttpClient.create()
 			.resolver(DefaultAddressResolverGroup.INSTANCE)
 			.runOn(loops, false)
-			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
 	}
 
 	/**
 	 * Requests a table from another gateway.
 	 * @param table the name of the table
-	 * @param known the version of the local copy
+	 * @param knownVersion the version of the local copy
 	 * @param preferred the address of a gateway known to have a newer copy, or empty to
 	 * choose a live gateway at random
 	 * @return the whole table, or empty if there is no live gateway or its copy is not
 	 * newer; an error if that gateway does not respond
 	 */
-	Mono<TableRows> newer(String table, long known, Optional<InetSocketAddress> preferred) {
-		return preferred.or(this::anyOne).map((peer) -> newer(table, known, peer)).orElse(Mono.empty());
+	Mono<TableRows> readNewer(String table, long knownVersion, Optional<InetSocketAddress> preferred) {
+		return preferred.or(this::randomPeer).map((peer) -> readNewer(table, knownVersion, peer)).orElse(Mono.empty());
 	}
 
-	private Optional<InetSocketAddress> anyOne() {
-		List<InetSocketAddress> living = this.peers.get();
-		return living.isEmpty() ? Optional.empty()
-				: Optional.of(living.get(ThreadLocalRandom.current().nextInt(living.size())));
+	private Optional<InetSocketAddress> randomPeer() {
+		List<InetSocketAddress> livePeers = this.peers.get();
+		return livePeers.isEmpty() ? Optional.empty()
+				: Optional.of(livePeers.get(ThreadLocalRandom.current().nextInt(livePeers.size())));
 	}
 
-	private Mono<TableRows> newer(String table, long known, InetSocketAddress peer) {
+	private Mono<TableRows> readNewer(String table, long knownVersion, InetSocketAddress peer) {
 		return this.client.remoteAddress(() -> peer)
 			.get()
-			.uri(AdminServer.tablePath(table, known))
+			.uri(AdminServer.tablePath(table, knownVersion))
 			.responseSingle((response, body) -> (response.status().code() == 200) ? body.asByteArray() : Mono.empty())
-			.timeout(ANSWER)
+			.timeout(RESPONSE_TIMEOUT)
 			.map(PeerTables::parse);
 	}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PlatformNews.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PlatformNews.java
@@ -32,9 +32,9 @@
 
 	private final GatewayControl decisions;
 
-	private volatile boolean configured;
+	private volatile boolean configurationRead;
 
-	private volatile boolean serversKnown;
+	private volatile boolean serversRead;
 
 	/** How old the local copy of the servers is, and when the store was unavailable. */
 	private final Freshness freshness;
@@ -45,14 +45,14 @@
 	private final Rollouts rollouts;
 
 	/** Called for each row that cannot be decoded. */
-	private final Runnable unreadable;
+	private final Runnable onUnreadable;
 
 	PlatformNews(RecordCodec records, ControlLoop control, BackendTable servers, GatewayControl decisions,
-			Rollouts rollouts, Freshness freshness, Runnable startedAgain, Runnable unreadable) {
+			Rollouts rollouts, Freshness freshness, Runnable startedAgain, Runnable onUnreadable) {
 		this.rollouts = rollouts;
 		this.freshness = freshness;
 		this.startedAgain = startedAgain;
-		this.unreadable = unreadable;
+		this.onUnreadable = onUnreadable;
 		this.records = records;
 		this.control = control;
 		this.servers = servers;
@@ -64,21 +64,21 @@
 	 * @return true once both have been read
 	 */
 	boolean isComplete() {
-		return this.configured && this.serversKnown;
+		return this.configurationRead && this.serversRead;
 	}
 
 	TableWatch.Listener configuration() {
-		return new ConfigurationNews();
+		return new ConfigurationListener();
 	}
 
 	TableWatch.Listener servers() {
-		return new ServerNews();
+		return new ServerListener();
 	}
 
-	private void configurationRow(Row row) {
+	private void applyConfigurationRow(Row row) {
 		Optional<String> rollout = this.records.rolloutOf(row.key());
 		if (rollout.isPresent()) {
-			this.control.post((now) -> rolloutRow(rollout.get(), row, now));
+			this.control.post((now) -> applyRolloutRow(rollout.get(), row, now));
 			return;
 		}
 		if (!row.key().equals(this.records.configuration().key()) || row.value().isEmpty()) {
@@ -88,7 +88,7 @@
 			TrafficConfiguration read = this.records.configuration(row.value().get());
 			this.control.post((_) -> {
 				this.decisions.configuration(read);
-				this.configured = true;
+				this.configurationRead = true;
 			});
 		}
 		catch (IllegalArgumentException ex) {
@@ -96,7 +96,7 @@
 		}
 	}
 
-	private void rolloutRow(String service, Row row, long now) {
+	private void applyRolloutRow(String service, Row row, long now) {
 		if (row.value().isEmpty()) {
 			this.rollouts.withdrawn(service, now);
 			return;
@@ -105,14 +105,14 @@
 			this.rollouts.ordered(this.records.rollout(service, row.value().get(), row.version()));
 		}
 		catch (IllegalArgumentException ex) {
-			this.unreadable.run();
+			this.onUnreadable.run();
 			this.rollouts.unreadable(service, row.version(), ex);
 		}
 	}
 
-	private void serverRow(Row row, long now) {
+	private void applyServerRow(Row row, long now) {
 		if (row.value().isEmpty()) {
-			lapsed(row.key(), now);
+			registrationExpired(row.key(), now);
 			return;
 		}
 		try {
@@ -123,8 +123,9 @@
 				return;
 			}
 			boolean startedAgain = this.servers.isOtherStart(server);
-			boolean news = this.serversKnown ? this.servers.registered(server, now) : this.servers.foundAtStart(server);
-			if (news) {
+			boolean changed = this.serversRead ? this.servers.registered(server, now)
+					: this.servers.foundAtStart(server);
+			if (changed) {
 				EventLog.info(GatewayEvents.SERVER_REGISTERED, "server", server.id(), "started", server.startedMillis(),
 						"startedAgain", startedAgain, "service", server.service(), "address", server.address(), "zone",
 						server.zone(), "leaving", server.leaving(), "reclaimable", server.reclaimable(), "sequence",
@@ -136,7 +137,7 @@
 		}
 		catch (IllegalArgumentException ex) {
 			this.servers.unreadable(row.key());
-			this.unreadable.run();
+			this.onUnreadable.run();
 			EventLog.warn(GatewayEvents.SERVER_UNREADABLE, "server", row.key(), "bytes", row.value().get().length,
 					"cause", ex.getMessage(), "rowVersion", row.version());
 		}
@@ -144,7 +145,7 @@
 
 	// Registrations expire during an outage of the store, including those of live
 	// servers.
-	private void lapsed(String id, long now) {
+	private void registrationExpired(String id, long now) {
 		OptionalLong returned = this.freshness.returnedNanos();
 		long keptNanos = this.servers.lapsed(id, now, returned);
 		EventLog.info(GatewayEvents.SERVER_LAPSED, "server", id, "storeBackMillis",
@@ -152,20 +153,20 @@
 				keptNanos / NANOS_PER_MILLI);
 	}
 
-	private void serversAll(List<Row> rows, long version, long now) {
+	private void replaceServers(List<Row> rows, long version, long now) {
 		Set<String> present = new HashSet<>();
 		rows.forEach((row) -> present.add(row.key()));
 		this.servers.servers()
 			.stream()
 			.map(BackendServer::id)
 			.filter((id) -> !present.contains(id))
-			.forEach((id) -> lapsed(id, now));
-		rows.forEach((row) -> serverRow(row, now));
+			.forEach((id) -> registrationExpired(id, now));
+		rows.forEach((row) -> applyServerRow(row, now));
 		this.decisions.serversSeen(version, now);
-		this.serversKnown = true;
+		this.serversRead = true;
 	}
 
-	private final class ConfigurationNews implements TableWatch.Listener {
+	private final class ConfigurationListener implements TableWatch.Listener {
 
 		@Override
 		public void all(List<Row> rows, long version) {
@@ -174,22 +175,22 @@
 
 		@Override
 		public void changed(List<Row> rows, long version) {
-			rows.forEach(PlatformNews.this::configurationRow);
+			rows.forEach(PlatformNews.this::applyConfigurationRow);
 		}
 
 	}
 
-	private final class ServerNews implements TableWatch.Listener {
+	private final class ServerListener implements TableWatch.Listener {
 
 		@Override
 		public void all(List<Row> rows, long version) {
-			PlatformNews.this.control.post((now) -> serversAll(rows, version, now));
+			PlatformNews.this.control.post((now) -> replaceServers(rows, version, now));
 		}
 
 		@Override
 		public void changed(List<Row> rows, long version) {
 			PlatformNews.this.control.post((now) -> {
-				rows.forEach((row) -> serverRow(row, now));
+				rows.forEach((row) -> applyServerRow(row, now));
 				PlatformNews.this.decisions.serversSeen(version, now);
 			});
 		}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SharedTables.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SharedTables.java
@@ -30,10 +30,10 @@
 	 * The maximum size of the rows in an update, in bytes, which keeps a report within
 	 * one packet.
 	 */
-	private static final int MOST_BYTES = 700;
+	private static final int MAX_UPDATE_BYTES = 700;
 
 	/** The number of reports that include each change. */
-	private static final int TIMES_TOLD = 3;
+	private static final int REPORTS_PER_CHANGE = 3;
 
 	private final RowStore store;
 
@@ -42,7 +42,7 @@
 	private final Map<String, TableWatch> watches = new HashMap<>();
 
 	/** The versions of each table that were sent in the last reports. */
-	private final Map<String, Deque<Long>> told = new HashMap<>();
+	private final Map<String, Deque<Long>> sentVersions = new HashMap<>();
 
 	private Role role = Role.STAND_BY;
 
@@ -57,12 +57,12 @@
 	/**
 	 * Starts to follow a table.
 	 * @param table the name of the table
-	 * @param known the local copy, which is also served to other gateways
+	 * @param replica the local copy, which is also served to other gateways
 	 * @param limits the limits of how old the local copy may become
 	 * @param listener receives the rows
 	 */
-	void follow(String table, FollowedTable known, FreshnessLimits limits, TableWatch.Listener listener) {
-		TableWatch watch = TableWatch.of(this.store, table, known, this.peers, limits, new Noting(listener));
+	void follow(String table, FollowedTable replica, FreshnessLimits limits, TableWatch.Listener listener) {
+		TableWatch watch = TableWatch.of(this.store, table, replica, this.peers, limits, new ChangeRecorder(listener));
 		this.watches.put(table, watch);
 		watch.tick(this.role, System.nanoTime());
 	}
@@ -93,7 +93,7 @@
 	 * @return true from a change until it is sent
 	 */
 	boolean isUrgent(long nowNanos) {
-		return this.changed && this.watches.values().stream().anyMatch((watch) -> watch.tells(nowNanos));
+		return this.changed && this.watches.values().stream().anyMatch((watch) -> watch.sendsUpdates(nowNanos));
 	}
 
 	/**
@@ -111,67 +111,67 @@
 	 * @return an update for each table that this gateway reads or recently found changes
 	 * in
 	 */
-	List<TableNews> news(long nowNanos) {
+	List<TableNews> updates(long nowNanos) {
 		this.changed = false;
 		return this.watches.values()
 			.stream()
-			.filter((watch) -> watch.tells(nowNanos))
-			.map((watch) -> news(watch, nowNanos))
+			.filter((watch) -> watch.sendsUpdates(nowNanos))
+			.map((watch) -> update(watch, nowNanos))
 			.toList();
 	}
 
 	// Changes are sent several times because datagrams may be lost. A gateway that misses
 	// all of them reads the table from the store.
-	private TableNews news(TableWatch watch, long nowNanos) {
-		long version = watch.known().version();
-		long since = told(watch.table(), version);
-		TableNews.Builder news = TableNews.newBuilder()
+	private TableNews update(TableWatch watch, long nowNanos) {
+		long version = watch.replica().version();
+		long since = recordSentVersion(watch.table(), version);
+		TableNews.Builder update = TableNews.newBuilder()
 			.setTable(watch.table())
 			.setVersion(version)
 			.setSince(since)
-			.setProvenMillis(provenMillis(watch, nowNanos));
-		Optional<List<TableRow>> rows = watch.known()
+			.setProvenMillis(confirmationAgeMillis(watch, nowNanos));
+		Optional<List<TableRow>> rows = watch.replica()
 			.changesSince(since)
-			.map((changes) -> messages(changes, version))
-			.filter(SharedTables::isSmall);
-		rows.ifPresentOrElse(news::addAllRows, () -> news.setOmitted(true));
-		return news.build();
+			.map((changes) -> encode(changes, version))
+			.filter(SharedTables::fitsReport);
+		rows.ifPresentOrElse(update::addAllRows, () -> update.setOmitted(true));
+		return update.build();
 	}
 
-	private static int provenMillis(TableWatch watch, long nowNanos) {
+	private static int confirmationAgeMillis(TableWatch watch, long nowNanos) {
 		OptionalLong age = watch.ownAgeNanos(nowNanos);
 		return age.isPresent() ? (int) Math.clamp(TimeUnit.NANOSECONDS.toMillis(age.getAsLong()), 1, Integer.MAX_VALUE)
 				: 0;
 	}
 
-	private long told(String table, long version) {
-		Deque<Long> versions = this.told.computeIfAbsent(table, (_) -> new ArrayDeque<>());
+	private long recordSentVersion(String table, long version) {
+		Deque<Long> versions = this.sentVersions.computeIfAbsent(table, (_) -> new ArrayDeque<>());
 		versions.addLast(version);
-		if (versions.size() > TIMES_TOLD + 1) {
+		if (versions.size() > REPORTS_PER_CHANGE + 1) {
 			versions.removeFirst();
 		}
 		return versions.getFirst();
 	}
 
-	private static List<TableRow> messages(List<Row> changes, long version) {
-		return changes.stream().filter((row) -> row.version() <= version).map(FollowedTable::message).toList();
+	private static List<TableRow> encode(List<Row> changes, long version) {
+		return changes.stream().filter((row) -> row.version() <= version).map(FollowedTable::encode).toList();
 	}
 
-	private static boolean isSmall(List<TableRow> rows) {
-		return rows.stream().mapToInt(TableRow::getSerializedSize).sum() <= MOST_BYTES;
+	private static boolean fitsReport(List<TableRow> rows) {
+		return rows.stream().mapToInt(TableRow::getSerializedSize).sum() <= MAX_UPDATE_BYTES;
 	}
 
 	// -- receiving
 
 	/**
 	 * Processes the updates in a report of another gateway.
-	 * @param news the updates
-	 * @param tables the address at which that gateway serves its tables
+	 * @param update the updates
+	 * @param tablesAddress the address at which that gateway serves its tables
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void heard(List<TableNews> news, InetSocketAddress tables, long nowNanos) {
-		news.forEach((one) -> Optional.ofNullable(this.watches.get(one.getTable()))
-			.ifPresent((watch) -> watch.told(one, tables, nowNanos)));
+	void receive(List<TableNews> update, InetSocketAddress tablesAddress, long nowNanos) {
+		update.forEach((one) -> Optional.ofNullable(this.watches.get(one.getTable()))
+			.ifPresent((watch) -> watch.receive(one, tablesAddress, nowNanos)));
 	}
 
 	/**
@@ -195,11 +195,11 @@
 	}
 
 	/** Records that there are changes to send. */
-	private final class Noting implements TableWatch.Listener {
+	private final class ChangeRecorder implements TableWatch.Listener {
 
 		private final TableWatch.Listener listener;
 
-		private Noting(TableWatch.Listener listener) {
+		private ChangeRecorder(TableWatch.Listener listener) {
 			this.listener = listener;
 		}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SizeDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SizeDuty.java
@@ -30,17 +30,17 @@
 final class SizeDuty {
 
 	/** The interval between measurements of the demand, in nanoseconds. */
-	private static final long LOOK_NANOS = TimeUnit.SECONDS.toNanos(1);
+	private static final long MEASURE_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	/**
 	 * The time after the last registration of a service's server after which all its
 	 * servers are assumed to have registered: twice the longest interval observed between
 	 * two registrations during a start.
 	 */
-	private static final long SETTLE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_400);
+	private static final long REGISTRATION_SETTLE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_400);
 
 	/** The number of reclaimable servers ordered per zone before there is a plan. */
-	private static final int FIRST_RECLAIMABLE = 2;
+	private static final int INITIAL_RECLAIMABLE = 2;
 
 	private final BackendTable servers;
 
@@ -48,7 +48,7 @@
 	private final ToDoubleFunction<String> tokensPerMilli;
 
 	/** Tests whether a server counts towards the capacity of its service. */
-	private final Predicate<BackendServer> counted;
+	private final Predicate<BackendServer> countsTowardsCapacity;
 
 	private final Duties duties;
 
@@ -58,39 +58,40 @@
 
 	private final Runnable fenced;
 
-	private final Map<String, SizePlan> plans = new HashMap<>();
+	private final Map<String, SizePlan> planners = new HashMap<>();
 
 	/** The newest plan by service. */
-	private final Map<String, SizePlan.Plan> needs = new HashMap<>();
+	private final Map<String, SizePlan.Plan> newestPlans = new HashMap<>();
 
 	private final SizeOrders orders = new SizeOrders();
 
 	/** The servers seen when orders were last derived, by service. */
 	private final Map<String, Map<String, ZoneSize>> lastPresent = new HashMap<>();
 
-	private final Map<String, Registered> registered = new HashMap<>();
+	private final Map<String, RegistrationState> registrations = new HashMap<>();
 
-	private long lookedNanos;
+	private long measuredNanos;
 
-	private boolean looked;
+	private boolean measured;
 
 	/** Whether there are plans that no order was derived from yet. */
-	private boolean planned;
+	private boolean plansPending;
 
 	/**
 	 * Whether a reclaimable VM was refused. Its replacement takes seconds to boot, so it
 	 * is ordered immediately.
 	 */
-	private boolean fallbackWanted;
+	private boolean replacementPending;
 
 	private double lastTokens;
 
 	private double tokensPerSecond;
 
-	SizeDuty(BackendTable servers, ToDoubleFunction<String> tokensPerMilli, Predicate<BackendServer> counted,
-			Duties duties, List<String> zones, Consumer<Runnable> control, Runnable fenced) {
+	SizeDuty(BackendTable servers, ToDoubleFunction<String> tokensPerMilli,
+			Predicate<BackendServer> countsTowardsCapacity, Duties duties, List<String> zones,
+			Consumer<Runnable> control, Runnable fenced) {
 		this.tokensPerMilli = tokensPerMilli;
-		this.counted = counted;
+		this.countsTowardsCapacity = countsTowardsCapacity;
 		this.fenced = fenced;
 		this.servers = servers;
 		this.duties = duties;
@@ -103,19 +104,19 @@
 	 * holder of the duties knows the recently required capacity. Without it, a successor
 	 * released the servers that its predecessor had ordered, during a correlated reclaim.
 	 * @param configuration the configuration in force
-	 * @param readingTokens the prompt tokens prefilled by servers since the start
+	 * @param prefillTokens the prompt tokens prefilled by servers since the start
 	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
-	void look(TrafficConfiguration configuration, double readingTokens, long now) {
-		if (this.looked && now - this.lookedNanos < LOOK_NANOS) {
+	void updatePlans(TrafficConfiguration configuration, double prefillTokens, long now) {
+		if (this.measured && now - this.measuredNanos < MEASURE_INTERVAL_NANOS) {
 			return;
 		}
-		measure(readingTokens, now);
+		measure(prefillTokens, now);
 		configuration.services()
 			.stream()
 			.filter((service) -> service.scaling().isPresent() && isSettled(service.name(), now))
-			.forEach((service) -> this.needs.put(service.name(), plan(service, now)));
-		this.planned = true;
+			.forEach((service) -> this.newestPlans.put(service.name(), plan(service, now)));
+		this.plansPending = true;
 	}
 
 	/**
@@ -126,9 +127,9 @@
 	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void act(long fence, TrafficConfiguration configuration, long now) {
-		boolean due = this.planned || this.fallbackWanted;
-		this.planned = false;
-		this.fallbackWanted = false;
+		boolean due = this.plansPending || this.replacementPending;
+		this.plansPending = false;
+		this.replacementPending = false;
 		configuration.services()
 			.stream()
 			.filter((service) -> service.scaling().isPresent())
@@ -136,47 +137,48 @@
 	}
 
 	private void act(long fence, ServiceSpec service, boolean due, long now) {
-		SizePlan.Plan plan = this.needs.get(service.name());
+		SizePlan.Plan plan = this.newestPlans.get(service.name());
 		if (plan == null) {
-			this.zones.forEach((zone) -> begin(fence, service, zone, now));
+			this.zones.forEach((zone) -> orderInitial(fence, service, zone, now));
 			return;
 		}
-		Map<String, ZoneSize> here = present(service.name());
-		boolean moved = !here.equals(this.lastPresent.put(service.name(), here));
-		if (due || moved) {
-			this.orders.next(service, plan, here, now).forEach((size) -> order(fence, size));
+		Map<String, ZoneSize> current = presentServers(service.name());
+		boolean changed = !current.equals(this.lastPresent.put(service.name(), current));
+		if (due || changed) {
+			this.orders.next(service, plan, current, now).forEach((size) -> order(fence, size));
 		}
 	}
 
-	private void measure(double readingTokens, long now) {
-		if (this.looked) {
-			double rate = (readingTokens - this.lastTokens) * 1e9 / (now - this.lookedNanos);
+	private void measure(double prefillTokens, long now) {
+		if (this.measured) {
+			double rate = (prefillTokens - this.lastTokens) * 1e9 / (now - this.measuredNanos);
 			// Averages with the previous rate, because a single prompt may dominate one
 			// second.
 			this.tokensPerSecond = (this.tokensPerSecond + Math.max(0, rate)) / 2;
 		}
-		this.looked = true;
-		this.lookedNanos = now;
-		this.lastTokens = readingTokens;
+		this.measured = true;
+		this.measuredNanos = now;
+		this.lastTokens = prefillTokens;
 	}
 
 	// The servers of a starting service register one after the other. A plan made from
 	// the first of them released the others: the traffic began with four servers where it
 	// needed seven, and in its first six seconds only 0.5 of it was in time.
 	private boolean isSettled(String service, long now) {
-		Registered before = this.registered.getOrDefault(service, Registered.NONE);
-		if (before.settled) {
+		RegistrationState previous = this.registrations.getOrDefault(service, RegistrationState.NONE);
+		if (previous.settled) {
 			return true;
 		}
-		Collection<ZoneSize> here = present(service).values();
+		Collection<ZoneSize> current = presentServers(service).values();
 		// Reclaimable servers are ordered by this duty and do not show whether the others
 		// have registered.
-		int lasting = lasting(here);
-		boolean any = here.stream().anyMatch((zone) -> zone.servers() > 0);
-		boolean more = lasting > before.lasting || (any && !before.any);
-		long since = more ? now : before.sinceNanos;
-		boolean settled = !more && any && now - since >= SETTLE_NANOS;
-		this.registered.put(service, new Registered(Math.max(lasting, before.lasting), any, since, settled));
+		int onDemand = onDemandCount(current);
+		boolean anyPresent = current.stream().anyMatch((zone) -> zone.servers() > 0);
+		boolean grew = onDemand > previous.maxOnDemand || (anyPresent && !previous.anyPresent);
+		long since = grew ? now : previous.sinceNanos;
+		boolean settled = !grew && anyPresent && now - since >= REGISTRATION_SETTLE_NANOS;
+		this.registrations.put(service,
+				new RegistrationState(Math.max(onDemand, previous.maxOnDemand), anyPresent, since, settled));
 		return settled;
 	}
 
@@ -186,27 +188,27 @@
 			.sorted(Comparator.comparingDouble((zone) -> prices.getOrDefault(zone, 1.0)))
 			.toList();
 		Demand demand = new Demand(this.tokensPerSecond, 1_000 * this.tokensPerMilli.applyAsDouble(service.name()),
-				this.servers.callsOf(service.name()), lasting(present(service.name()).values()));
-		return this.plans.computeIfAbsent(service.name(), (_) -> new SizePlan())
+				this.servers.callsOf(service.name()), onDemandCount(presentServers(service.name()).values()));
+		return this.planners.computeIfAbsent(service.name(), (_) -> new SizePlan())
 			.plan(service, cheapestFirst, demand, now);
 	}
 
 	// Some reclaimable servers are needed whatever the plan will be. Ordered now, they
 	// boot while the running servers register, and take over from them seconds earlier.
-	private void begin(long fence, ServiceSpec service, String zone, long now) {
+	private void orderInitial(long fence, ServiceSpec service, String zone, long now) {
 		ServiceSpec.ScalingSpec bounds = service.scaling().orElseThrow();
-		if (present(service.name()).get(zone).reclaimable() == 0) {
-			int servers = Math.clamp(FIRST_RECLAIMABLE, bounds.min(), bounds.max());
+		if (presentServers(service.name()).get(zone).reclaimable() == 0) {
+			int servers = Math.clamp(INITIAL_RECLAIMABLE, bounds.min(), bounds.max());
 			this.orders.order(service, new Size(service.name(), zone, servers, true), 0, now)
 				.ifPresent((size) -> order(fence, size));
 		}
 	}
 
 	private void order(long fence, Size size) {
-		ZoneSize here = present(size.service()).get(size.zone());
+		ZoneSize current = presentServers(size.service()).get(size.zone());
 		EventLog.info(GatewayEvents.SIZE_ORDERED, "service", size.service(), "zone", size.zone(), "servers",
 				size.servers(), "reclaimable", size.reclaimable(), "present",
-				size.reclaimable() ? here.reclaimable() : here.lasting(), "tokensPerSecond",
+				size.reclaimable() ? current.reclaimable() : current.lasting(), "tokensPerSecond",
 				Math.round(this.tokensPerSecond), "serverTokensPerMilli",
 				Math.round(this.tokensPerMilli.applyAsDouble(size.service())), "calls",
 				this.servers.callsOf(size.service()), "fence", fence);
@@ -221,43 +223,45 @@
 		if (failure instanceof StoreException ex && ex.reason() == StoreException.Reason.FENCED) {
 			this.fenced.run();
 		}
-		boolean none = failure instanceof StoreException ex && ex.reason() == StoreException.Reason.NONE_AVAILABLE;
-		this.orders.failed(size, none, System.nanoTime());
-		if (none) {
-			this.fallbackWanted = true;
+		boolean noneAvailable = failure instanceof StoreException ex
+				&& ex.reason() == StoreException.Reason.NONE_AVAILABLE;
+		this.orders.failed(size, noneAvailable, System.nanoTime());
+		if (noneAvailable) {
+			this.replacementPending = true;
 		}
 	}
 
-	private Map<String, ZoneSize> present(String service) {
+	private Map<String, ZoneSize> presentServers(String service) {
 		Map<String, ZoneSize> present = new HashMap<>();
 		this.zones.forEach((zone) -> present.put(zone, ZoneSize.NONE));
 		this.servers.servers()
 			.stream()
-			.filter((server) -> server.service().equals(service) && !server.leaving() && this.counted.test(server))
-			.forEach((server) -> present.computeIfPresent(server.zone(), (_, here) -> with(here, server)));
+			.filter((server) -> server.service().equals(service) && !server.leaving()
+					&& this.countsTowardsCapacity.test(server))
+			.forEach((server) -> present.computeIfPresent(server.zone(), (_, current) -> add(current, server)));
 		return present;
 	}
 
-	private static int lasting(Collection<ZoneSize> here) {
-		return here.stream().mapToInt(ZoneSize::lasting).sum();
+	private static int onDemandCount(Collection<ZoneSize> current) {
+		return current.stream().mapToInt(ZoneSize::lasting).sum();
 	}
 
-	private static ZoneSize with(ZoneSize here, BackendServer server) {
-		return server.reclaimable() ? new ZoneSize(here.lasting(), here.reclaimable() + 1)
-				: new ZoneSize(here.lasting() + 1, here.reclaimable());
+	private static ZoneSize add(ZoneSize current, BackendServer server) {
+		return server.reclaimable() ? new ZoneSize(current.lasting(), current.reclaimable() + 1)
+				: new ZoneSize(current.lasting() + 1, current.reclaimable());
 	}
 
 	/**
 	 * The servers of a service that have registered since the start.
 	 *
-	 * @param lasting the maximum number of on-demand servers seen at the same time
-	 * @param any whether any server was present at the last check
+	 * @param maxOnDemand the maximum number of on-demand servers seen at the same time
+	 * @param anyPresent whether any server was present at the last check
 	 * @param sinceNanos when that state last grew, on the monotonic clock
 	 * @param settled whether all servers are assumed to have registered
 	 */
-	private record Registered(int lasting, boolean any, long sinceNanos, boolean settled) {
+	private record RegistrationState(int maxOnDemand, boolean anyPresent, long sinceNanos, boolean settled) {
 
-		private static final Registered NONE = new Registered(0, false, 0, false);
+		private static final RegistrationState NONE = new RegistrationState(0, false, 0, false);
 
 	}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/TableWatch.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/TableWatch.java
@@ -40,7 +40,7 @@
 	 * For how long a change that this gateway found itself is sent to others, in
 	 * nanoseconds.
 	 */
-	private static final long FIRST_HAND_NANOS = TimeUnit.SECONDS.toNanos(1);
+	private static final long OWN_CHANGE_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	private final RowStore store;
 
@@ -48,14 +48,14 @@
 
 	private final Listener listener;
 
-	private final FollowedTable known;
+	private final FollowedTable replica;
 
 	private final PeerTables peers;
 
 	private final TableFollower follower;
 
 	/** The outstanding requests to the store. */
-	private final Map<Asked, Disposable> underWay = new HashMap<>();
+	private final Map<Asked, Disposable> outstanding = new HashMap<>();
 
 	private boolean closed;
 
@@ -63,37 +63,37 @@
 	 * The address at which a gateway that reported changes missing here serves its
 	 * tables.
 	 */
-	private Optional<InetSocketAddress> knowsMore = Optional.empty();
+	private Optional<InetSocketAddress> newerPeer = Optional.empty();
 
 	/**
 	 * When this gateway last found a change that no other gateway had reported; empty
 	 * before the first.
 	 */
-	private OptionalLong firstHandNanos = OptionalLong.empty();
+	private OptionalLong ownChangeNanos = OptionalLong.empty();
 
-	private TableWatch(RowStore store, String table, FollowedTable known, PeerTables peers, FreshnessLimits limits,
+	private TableWatch(RowStore store, String table, FollowedTable replica, PeerTables peers, FreshnessLimits limits,
 			Listener listener) {
 		this.store = store;
 		this.table = table;
-		this.known = known;
+		this.replica = replica;
 		this.peers = peers;
 		this.listener = listener;
-		this.follower = TableFollower.of(known.freshness(), limits, () -> ThreadLocalRandom.current().nextDouble());
+		this.follower = TableFollower.of(replica.freshness(), limits, () -> ThreadLocalRandom.current().nextDouble());
 	}
 
 	/**
 	 * Creates a watch, which sends no query before the first call of {@link #tick}.
 	 * @param store the store
 	 * @param table the name of the table
-	 * @param known the local copy, which is also served to other gateways
+	 * @param replica the local copy, which is also served to other gateways
 	 * @param peers reads from other gateways while the store does not respond
 	 * @param limits the limits of how old the local copy may become
 	 * @param listener receives the rows
 	 * @return the watch
 	 */
-	static TableWatch of(RowStore store, String table, FollowedTable known, PeerTables peers, FreshnessLimits limits,
+	static TableWatch of(RowStore store, String table, FollowedTable replica, PeerTables peers, FreshnessLimits limits,
 			Listener listener) {
-		return new TableWatch(store, table, known, peers, limits, listener);
+		return new TableWatch(store, table, replica, peers, limits, listener);
 	}
 
 	// No outstanding request is cancelled: a caller may still wait for its connection.
@@ -108,10 +108,10 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void tick(Role role, long nowNanos) {
-		due(role, nowNanos).forEach(this::ask);
+		dueQueries(role, nowNanos).forEach(this::send);
 	}
 
-	private synchronized List<Asked> due(Role role, long nowNanos) {
+	private synchronized List<Asked> dueQueries(Role role, long nowNanos) {
 		return this.closed ? List.of() : this.follower.tick(role, nowNanos);
 	}
 
@@ -119,19 +119,19 @@
 
 	/**
 	 * Processes an update of the table sent by another gateway.
-	 * @param news the update
-	 * @param tables the address at which that gateway serves its tables
+	 * @param update the update
+	 * @param tablesAddress the address at which that gateway serves its tables
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	synchronized void told(TableNews news, InetSocketAddress tables, long nowNanos) {
-		boolean follows = !news.getOmitted() && news.getSince() <= this.known.version();
-		boolean whole = follows || news.getVersion() <= this.known.version();
-		this.knowsMore = whole ? this.knowsMore : Optional.of(tables);
-		Optional<Long> proven = (news.getProvenMillis() == 0) ? Optional.empty()
-				: Optional.of(nowNanos - TimeUnit.MILLISECONDS.toNanos(news.getProvenMillis()));
-		this.follower.told(news.getVersion(), whole, proven, nowNanos);
-		if (follows) {
-			changed(FollowedTable.rows(news.getRowsList()), news.getVersion());
+	synchronized void receive(TableNews update, InetSocketAddress tablesAddress, long nowNanos) {
+		boolean contiguous = !update.getOmitted() && update.getSince() <= this.replica.version();
+		boolean complete = contiguous || update.getVersion() <= this.replica.version();
+		this.newerPeer = complete ? this.newerPeer : Optional.of(tablesAddress);
+		Optional<Long> confirmed = (update.getProvenMillis() == 0) ? Optional.empty()
+				: Optional.of(nowNanos - TimeUnit.MILLISECONDS.toNanos(update.getProvenMillis()));
+		this.follower.told(update.getVersion(), complete, confirmed, nowNanos);
+		if (contiguous) {
+			apply(FollowedTable.decode(update.getRowsList()), update.getVersion());
 		}
 	}
 
@@ -170,14 +170,14 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return false if its copy only contains changes received from other gateways
 	 */
-	synchronized boolean tells(long nowNanos) {
-		boolean found = this.firstHandNanos.isPresent()
-				&& nowNanos - this.firstHandNanos.getAsLong() < FIRST_HAND_NANOS;
-		return found || this.follower.isReading(nowNanos);
+	synchronized boolean sendsUpdates(long nowNanos) {
+		boolean foundRecently = this.ownChangeNanos.isPresent()
+				&& nowNanos - this.ownChangeNanos.getAsLong() < OWN_CHANGE_RETENTION_NANOS;
+		return foundRecently || this.follower.isReading(nowNanos);
 	}
 
-	FollowedTable known() {
-		return this.known;
+	FollowedTable replica() {
+		return this.replica;
 	}
 
 	String table() {
@@ -186,117 +186,118 @@
 
 	// -- queries
 
-	private void ask(Asked asked) {
-		switch (asked.question()) {
-			case Question.Whole _ -> run(asked, readOn("", new ArrayList<>(), OptionalLong.empty()));
+	private void send(Asked sent) {
+		switch (sent.question()) {
+			case Question.Whole _ -> execute(sent, readPages("", new ArrayList<>(), OptionalLong.empty()));
 			case Question.Feed feed ->
-				run(asked, this.store.changes(this.table, feed.since(), Duration.ofNanos(feed.waitNanos())));
-			case Question.Check check -> run(asked, this.store.changes(this.table, check.since(), Duration.ZERO));
-			case Question.OfGateway gateway -> askGateway(gateway.known());
+				execute(sent, this.store.changes(this.table, feed.since(), Duration.ofNanos(feed.waitNanos())));
+			case Question.Check check -> execute(sent, this.store.changes(this.table, check.since(), Duration.ZERO));
+			case Question.OfGateway gateway -> queryPeer(gateway.known());
 		}
 	}
 
 	// A row of the first page may change while later pages are read, so the result has
 	// the version of the first page.
-	private Mono<Page> readOn(String from, List<Row> before, OptionalLong firstVersion) {
+	private Mono<Page> readPages(String from, List<Row> collected, OptionalLong firstVersion) {
 		return this.store.read(new Range(this.table, from, "")).flatMap((page) -> {
-			before.addAll(page.rows());
+			collected.addAll(page.rows());
 			long version = firstVersion.orElse(page.version());
 			if (!page.more()) {
-				return Mono.just(new Page(before, false, version));
+				return Mono.just(new Page(collected, false, version));
 			}
 			// The smallest key after the last one.
-			return readOn(page.rows().getLast().key() + '\0', before, OptionalLong.of(version));
+			return readPages(page.rows().getLast().key() + '\0', collected, OptionalLong.of(version));
 		});
 	}
 
-	private void run(Asked asked, Mono<Page> question) {
+	private void execute(Asked sent, Mono<Page> response) {
 		Disposable.Swap handle = Disposables.swap();
 		synchronized (this) {
-			this.underWay.put(asked, handle);
+			this.outstanding.put(sent, handle);
 		}
-		handle.update(question.subscribe((page) -> answered(asked, page), (failure) -> failed(asked, failure)));
+		handle.update(
+				response.subscribe((page) -> handleResponse(sent, page), (failure) -> handleFailure(sent, failure)));
 	}
 
-	private synchronized void answered(Asked asked, Page page) {
-		this.underWay.remove(asked);
+	private synchronized void handleResponse(Asked sent, Page page) {
+		this.outstanding.remove(sent);
 		if (this.closed) {
 			return;
 		}
-		Answer answer = this.follower.answered(asked, page.version(), !page.rows().isEmpty(), System.nanoTime());
-		noteRegained(answer.failuresBefore());
-		noteOlder(answer.older(), page.version());
-		answer.lostFeed().ifPresent(this::giveUp);
-		if (answer.firstHand()) {
-			this.firstHandNanos = OptionalLong.of(System.nanoTime());
+		Answer result = this.follower.answered(sent, page.version(), !page.rows().isEmpty(), System.nanoTime());
+		logRecovery(result.failuresBefore());
+		logOutdated(result.older(), page.version());
+		result.lostFeed().ifPresent(this::abandonFeed);
+		if (result.firstHand()) {
+			this.ownChangeNanos = OptionalLong.of(System.nanoTime());
 		}
-		if (asked.question() instanceof Question.Whole) {
-			take(page.rows(), page.version());
+		if (sent.question() instanceof Question.Whole) {
+			replace(page.rows(), page.version());
 		}
 		else {
-			changed(page.rows(), page.version());
+			apply(page.rows(), page.version());
 		}
 	}
 
-	private void giveUp(Asked feed) {
-		EventLog.warn(GatewayEvents.FEED_LOST, "table", this.table, "since", this.known.version(), "waitedMillis",
+	private void abandonFeed(Asked feed) {
+		EventLog.warn(GatewayEvents.FEED_LOST, "table", this.table, "since", this.replica.version(), "waitedMillis",
 				TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - feed.sentNanos()));
-		Optional.ofNullable(this.underWay.remove(feed)).ifPresent(Disposable::dispose);
+		Optional.ofNullable(this.outstanding.remove(feed)).ifPresent(Disposable::dispose);
 	}
 
-	private void noteRegained(int failures) {
+	private void logRecovery(int failures) {
 		if (failures > 0) {
 			EventLog.info(GatewayEvents.STORE_REGAINED, "table", this.table, "failures", failures);
 		}
 	}
 
-	private void noteOlder(boolean older, long version) {
+	private void logOutdated(boolean older, long version) {
 		if (older) {
 			EventLog.warn(GatewayEvents.ANSWER_OUTDATED, "table", this.table, "version", version, "known",
-					this.known.version());
+					this.replica.version());
 		}
 	}
 
-	private void failed(Asked asked, Throwable failure) {
-		noteFailed(asked, failure).ifPresent(this::ask);
+	private void handleFailure(Asked sent, Throwable failure) {
+		recordFailure(sent, failure).ifPresent(this::send);
 	}
 
-	private synchronized Optional<Asked> noteFailed(Asked asked, Throwable failure) {
-		this.underWay.remove(asked);
+	private synchronized Optional<Asked> recordFailure(Asked sent, Throwable failure) {
+		this.outstanding.remove(sent);
 		if (this.closed) {
 			return Optional.empty();
 		}
 		boolean historyLost = failure instanceof StoreException ex && ex.reason() == StoreException.Reason.HISTORY_LOST;
-		boolean failing = this.follower.isFailing();
-		Optional<Asked> next = this.follower.failed(asked, historyLost, System.nanoTime());
+		boolean wasFailing = this.follower.isFailing();
+		Optional<Asked> next = this.follower.failed(sent, historyLost, System.nanoTime());
 		if (historyLost) {
 			EventLog.info(GatewayEvents.TABLE_READ_ANEW, "table", this.table);
 		}
-		else if (!failing && this.follower.isFailing()) {
+		else if (!wasFailing && this.follower.isFailing()) {
 			EventLog.warn(GatewayEvents.STORE_LOST, "table", this.table, "cause", failure.getMessage());
 		}
 		return next;
 	}
 
 	// The store may reject this gateway while it serves the others.
-	private void askGateway(long version) {
-		this.peers.newer(this.table, version, preferredGateway())
-			.subscribe(this::takeOfGateway, (failure) -> EventLog.info(GatewayEvents.PEER_CALL_FAILED, "table",
+	private void queryPeer(long version) {
+		this.peers.readNewer(this.table, version, preferredPeer())
+			.subscribe(this::applyPeerTable, (failure) -> EventLog.info(GatewayEvents.PEER_CALL_FAILED, "table",
 					this.table, "cause", failure.getMessage()));
 	}
 
 	// Used only once, because that gateway may have terminated since.
-	private synchronized Optional<InetSocketAddress> preferredGateway() {
-		Optional<InetSocketAddress> preferred = this.knowsMore;
-		this.knowsMore = Optional.empty();
+	private synchronized Optional<InetSocketAddress> preferredPeer() {
+		Optional<InetSocketAddress> preferred = this.newerPeer;
+		this.newerPeer = Optional.empty();
 		return preferred;
 	}
 
-	private synchronized void takeOfGateway(TableRows newer) {
-		List<Row> rows = FollowedTable.rows(newer.getRowsList());
+	private synchronized void applyPeerTable(TableRows newer) {
+		List<Row> rows = FollowedTable.decode(newer.getRowsList());
 		EventLog.info(GatewayEvents.TABLE_FROM_PEER, "table", this.table, "version", newer.getVersion(), "before",
-				this.known.version(), "rows", rows.size());
-		if (take(rows, newer.getVersion())) {
+				this.replica.version(), "rows", rows.size());
+		if (replace(rows, newer.getVersion())) {
 			this.follower.told(newer.getVersion(), true, Optional.empty(), System.nanoTime());
 		}
 	}
@@ -304,21 +305,21 @@
 	// -- rows are applied under the lock: changes from the store and from other gateways
 	// must reach the listener in the order in which they were applied
 
-	private void changed(List<Row> rows, long version) {
-		List<Row> news = this.known.changed(rows, version);
-		if (!news.isEmpty()) {
-			this.listener.changed(news, version);
+	private void apply(List<Row> rows, long version) {
+		List<Row> update = this.replica.apply(rows, version);
+		if (!update.isEmpty()) {
+			this.listener.changed(update, version);
 		}
 	}
 
 	// Another gateway may respond after the store has delivered newer changes. Going back
 	// to its older table would send calls to a server that has left.
-	private boolean take(List<Row> rows, long version) {
-		boolean taken = this.known.all(rows, version);
-		if (taken) {
+	private boolean replace(List<Row> rows, long version) {
+		boolean replaced = this.replica.replace(rows, version);
+		if (replaced) {
 			this.listener.all(rows, version);
 		}
-		return taken;
+		return replaced;
 	}
 
 	/** Receives the rows of a watch, on any thread, one call at a time. */
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/UsageDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/UsageDuty.java
@@ -44,35 +44,35 @@
 	/**
 	 * The time from the end of a window until its rows are added up, in milliseconds.
 	 */
-	private static final long SETTLE_MILLIS = 2_000;
+	private static final long SETTLE_DELAY_MILLIS = 2_000;
 
 	/**
 	 * The time from the end of a window until its report is abandoned, in milliseconds; a
 	 * report is due after ten seconds.
 	 */
-	private static final long DUE_MILLIS = 9_500;
+	private static final long REPORT_DEADLINE_MILLIS = 9_500;
 
 	/** The delay before a row that the store did not accept is written again. */
-	private static final Duration WRITE_AGAIN = Duration.ofMillis(800);
+	private static final Duration WRITE_RETRY_DELAY = Duration.ofMillis(800);
 
 	/** The delay after a failure, in milliseconds. */
-	private static final long RETRY_MILLIS = 400;
+	private static final long RETRY_DELAY_MILLIS = 400;
 
 	/**
 	 * The time after which an unwritten row is sent to the other gateways, in
 	 * milliseconds: the store responds within a few milliseconds, and rows are added up
-	 * after {@link #SETTLE_MILLIS}.
+	 * after {@link #SETTLE_DELAY_MILLIS}.
 	 */
-	private static final long HANDOVER_MILLIS = 500;
+	private static final long HANDOVER_DELAY_MILLIS = 500;
 
 	private static final String TABLE = "usage";
 
 	/**
 	 * Sorts after the names of gateways, so that one read returns the rows and the sum.
 	 */
-	private static final String SUM = "~sum";
+	private static final String SUM_NAME = "~sum";
 
-	private static final TypeReference<TreeMap<String, Long>> COUNTS = new TypeReference<>() {
+	private static final TypeReference<TreeMap<String, Long>> COUNTS_TYPE = new TypeReference<>() {
 	};
 
 	private final RowStore store;
@@ -90,7 +90,7 @@
 	/** Rows of this gateway that are not confirmed as written, by key. */
 	private final Map<String, UnwrittenRow> unwritten = new TreeMap<>();
 
-	private final HeardUsage heard = new HeardUsage();
+	private final HeardUsage receivedUsage = new HeardUsage();
 
 	private final Set<String> writing = new HashSet<>();
 
@@ -98,9 +98,9 @@
 
 	private long firstWindow = Long.MIN_VALUE;
 
-	private int written;
+	private int rowNumber;
 
-	private boolean busy;
+	private boolean reporting;
 
 	private long notBeforeMillis;
 
@@ -120,15 +120,15 @@
 	 * @param windows the windows
 	 * @param start identifies this start of the process
 	 */
-	void closed(List<Window> windows, int start) {
+	void addClosedWindows(List<Window> windows, int start) {
 		for (Window window : windows) {
 			// A window can be closed twice: during the shutdown and at its end.
-			this.written++;
-			String row = process(this.self, start) + '/' + this.written;
+			this.rowNumber++;
+			String row = processName(this.self, start) + '/' + this.rowNumber;
 			this.unwritten.put(key(window.index(), row),
 					new UnwrittenRow(window.index(), row, RowJson.write(window.counts()), System.nanoTime()));
 		}
-		writeOwn();
+		writeRows();
 	}
 
 	/**
@@ -137,7 +137,7 @@
 	 * @param start identifies the start
 	 * @return the name
 	 */
-	static String process(String gateway, int start) {
+	static String processName(String gateway, int start) {
 		return gateway + '/' + Integer.toHexString(start);
 	}
 
@@ -145,11 +145,11 @@
 	 * Returns the rows of this gateway that the store has not accepted for some time.
 	 * @return the rows to send to the other gateways
 	 */
-	List<UnwrittenRow> handover() {
+	List<UnwrittenRow> rowsToHandOver() {
 		long now = System.nanoTime();
 		return this.unwritten.values()
 			.stream()
-			.filter((row) -> now - row.sinceNanos() >= TimeUnit.MILLISECONDS.toNanos(HANDOVER_MILLIS))
+			.filter((row) -> now - row.sinceNanos() >= TimeUnit.MILLISECONDS.toNanos(HANDOVER_DELAY_MILLIS))
 			.toList();
 	}
 
@@ -157,7 +157,7 @@
 		return this.unwritten.isEmpty();
 	}
 
-	private void writeOwn() {
+	private void writeRows() {
 		List.copyOf(this.unwritten.keySet()).forEach((key) -> {
 			if (this.writing.add(key)) {
 				this.store.commit(Commit.put(TABLE, key, this.unwritten.get(key).counts()))
@@ -166,7 +166,7 @@
 						this.unwritten.remove(key);
 					}), (failure) -> this.control.accept(() -> {
 						RowLog.failed(key, "write", failure);
-						writeAgainLater(key);
+						retryWriteLater(key);
 					}));
 			}
 		});
@@ -174,8 +174,8 @@
 
 	// Writing the same row again is harmless, but immediate repeated retries would add
 	// load to an overloaded store.
-	private void writeAgainLater(String key) {
-		Mono.delay(WRITE_AGAIN).subscribe((_) -> this.control.accept(() -> this.writing.remove(key)));
+	private void retryWriteLater(String key) {
+		Mono.delay(WRITE_RETRY_DELAY).subscribe((_) -> this.control.accept(() -> this.writing.remove(key)));
 	}
 
 	// -- counts of other gateways
@@ -186,9 +186,9 @@
 	 * @param process the start of the gateway
 	 * @param counts the calls by organisation
 	 */
-	void heardUnderWay(long window, String process, Map<String, Long> counts) {
-		this.heard.underWay(window, process, counts);
-		this.heard.forgetBefore(window - keptWindows());
+	void receiveCurrentCounts(long window, String process, Map<String, Long> counts) {
+		this.receivedUsage.underWay(window, process, counts);
+		this.receivedUsage.forgetBefore(window - retainedWindows());
 	}
 
 	/**
@@ -197,8 +197,8 @@
 	 * @param row the name of the row
 	 * @param counts the value of the row
 	 */
-	void heardUnwritten(long window, String row, byte[] counts) {
-		decode(key(window, row), counts).ifPresent((read) -> this.heard.unwritten(window, row, read));
+	void receiveUnwritten(long window, String row, byte[] counts) {
+		decode(key(window, row), counts).ifPresent((read) -> this.receivedUsage.unwritten(window, row, read));
 	}
 
 	// -- reporting
@@ -210,7 +210,7 @@
 	 */
 	void tick(long epochMillis) {
 		if (epochMillis >= this.notBeforeMillis) {
-			writeOwn();
+			writeRows();
 		}
 		if (this.firstWindow == Long.MIN_VALUE) {
 			this.firstWindow = epochMillis / this.windowMillis;
@@ -224,54 +224,54 @@
 	 * @param organisations the names of all organisations
 	 */
 	void act(long fence, long epochMillis, Set<String> organisations) {
-		if (this.busy || epochMillis < this.notBeforeMillis) {
+		if (this.reporting || epochMillis < this.notBeforeMillis) {
 			return;
 		}
-		long last = (epochMillis - SETTLE_MILLIS) / this.windowMillis - 1;
-		long first = Math.max(this.firstWindow, (epochMillis - DUE_MILLIS) / this.windowMillis - 1);
+		long last = (epochMillis - SETTLE_DELAY_MILLIS) / this.windowMillis - 1;
+		long first = Math.max(this.firstWindow, (epochMillis - REPORT_DEADLINE_MILLIS) / this.windowMillis - 1);
 		for (long window = first; window <= last; window++) {
 			if (!this.reported.contains(window)) {
-				sum(fence, window, organisations);
+				readRows(fence, window, organisations);
 				return;
 			}
 		}
 	}
 
-	private void sum(long fence, long window, Set<String> organisations) {
-		this.busy = true;
+	private void readRows(long fence, long window, Set<String> organisations) {
+		this.reporting = true;
 		this.store.read(new Range(TABLE, key(window, ""), key(window, "~~")))
-			.subscribe((page) -> this.control.accept(() -> summed(fence, window, organisations, page.rows())),
+			.subscribe((page) -> this.control.accept(() -> addUp(fence, window, organisations, page.rows())),
 					(failure) -> this.control.accept(() -> failed(window, failure)));
 	}
 
-	private void summed(long fence, long window, Set<String> organisations, List<Row> rows) {
+	private void addUp(long fence, long window, Set<String> organisations, List<Row> rows) {
 		Map<String, Long> sum = new TreeMap<>();
 		organisations.forEach((name) -> sum.put(name, 0L));
 		List<String> keys = new ArrayList<>();
 		for (Row row : rows) {
 			Optional<Map<String, Long>> counts = decode(row.key(), row.value().orElse(new byte[0]));
-			if (row.key().equals(key(window, SUM))) {
-				counts.ifPresentOrElse((known) -> report(fence, window, known, rows.size() - 1, List.of()),
-						() -> giveUp(window, "stored sum cannot be decoded"));
+			if (row.key().equals(key(window, SUM_NAME))) {
+				counts.ifPresentOrElse((decoded) -> report(fence, window, decoded, rows.size() - 1, List.of()),
+						() -> abandon(window, "stored sum cannot be decoded"));
 				return;
 			}
 			keys.add(row.key());
-			counts.ifPresent((known) -> known.forEach((name, count) -> sum.merge(name, count, Long::sum)));
+			counts.ifPresent((decoded) -> decoded.forEach((name, count) -> sum.merge(name, count, Long::sum)));
 		}
-		addHeard(window, keys, sum);
-		Commit commit = new Commit(TABLE, List.of(new Condition(key(window, SUM), 0)),
-				List.of(new Write(key(window, SUM), RowJson.write(sum))), List.of());
+		addReceived(window, keys, sum);
+		Commit commit = new Commit(TABLE, List.of(new Condition(key(window, SUM_NAME), 0)),
+				List.of(new Write(key(window, SUM_NAME), RowJson.write(sum))), List.of());
 		this.store.commit(commit).subscribe((outcome) -> this.control.accept(() -> {
 			switch (outcome) {
 				case Outcome.Committed _ -> report(fence, window, sum, keys.size(), keys);
-				case Outcome.Conflict _ -> again(0);
+				case Outcome.Conflict _ -> finishAttempt(0);
 			}
 		}), (failure) -> this.control.accept(() -> failed(window, failure)));
 	}
 
-	private void addHeard(long window, List<String> keys, Map<String, Long> sum) {
+	private void addReceived(long window, List<String> keys, Map<String, Long> sum) {
 		List<String> stored = keys.stream().map((key) -> key.substring(key(window, "").length())).toList();
-		Map<String, Long> missing = this.heard.missing(window, stored);
+		Map<String, Long> missing = this.receivedUsage.missing(window, stored);
 		if (!missing.isEmpty()) {
 			EventLog.info(GatewayEvents.USAGE_FROM_PEERS, "window", window, "rows", stored.size(), "missing", missing);
 			missing.forEach((name, count) -> sum.merge(name, count, Long::sum));
@@ -284,48 +284,48 @@
 			EventLog.info(GatewayEvents.USAGE_REPORTED, "window", window, "fence", fence, "gateways", gateways,
 					"counts", counts);
 			this.reported.add(window);
-			again(0);
-			tidy(window, keys);
+			finishAttempt(0);
+			deleteRows(window, keys);
 		}));
 	}
 
 	// Deletes the rows that were added up, and the sum that no report can need any more.
-	private void tidy(long window, List<String> keys) {
-		long old = window - keptWindows();
-		this.reported.headSet(old).clear();
+	private void deleteRows(long window, List<String> keys) {
+		long expired = window - retainedWindows();
+		this.reported.headSet(expired).clear();
 		List<String> deletes = new ArrayList<>(keys);
-		deletes.add(key(old, SUM));
+		deletes.add(key(expired, SUM_NAME));
 		this.store.commit(new Commit(TABLE, List.of(), List.of(), deletes)).subscribe((_) -> {
 		}, (failure) -> RowLog.failed(key(window, ""), "delete", failure));
 	}
 
 	// A sum that may have been reported before must not be computed again.
-	private void giveUp(long window, String cause) {
+	private void abandon(long window, String cause) {
 		EventLog.warn(GatewayEvents.USAGE_GIVEN_UP, "window", window, "cause", cause);
 		this.reported.add(window);
-		again(RETRY_MILLIS);
+		finishAttempt(RETRY_DELAY_MILLIS);
 	}
 
 	private void failed(long window, Throwable failure) {
 		if (failure instanceof StoreException ex && ex.reason() == StoreException.Reason.REJECTED) {
-			giveUp(window, failure.getMessage());
+			abandon(window, failure.getMessage());
 			return;
 		}
 		if (failure instanceof StoreException ex && ex.reason() == StoreException.Reason.FENCED) {
 			this.fenced.run();
 		}
 		EventLog.info(GatewayEvents.USAGE_NOT_REPORTED, "window", window, "cause", failure.getMessage());
-		again(RETRY_MILLIS);
+		finishAttempt(RETRY_DELAY_MILLIS);
 	}
 
-	private void again(long pauseMillis) {
-		this.busy = false;
-		this.notBeforeMillis = System.currentTimeMillis() + pauseMillis;
+	private void finishAttempt(long delayMillis) {
+		this.reporting = false;
+		this.notBeforeMillis = System.currentTimeMillis() + delayMillis;
 	}
 
 	// The number of windows before the newest one that a report may still need.
-	private long keptWindows() {
-		return 2 + DUE_MILLIS / this.windowMillis;
+	private long retainedWindows() {
+		return 2 + REPORT_DEADLINE_MILLIS / this.windowMillis;
 	}
 
 	private static String key(long window, String rest) {
@@ -337,7 +337,7 @@
 	// of the duties in turn, and no window was reported any more.
 	private static Optional<Map<String, Long>> decode(String key, byte[] value) {
 		try {
-			return Optional.of(RowJson.read(value, COUNTS, "usage row"));
+			return Optional.of(RowJson.read(value, COUNTS_TYPE, "usage row"));
 		}
 		catch (IllegalStateException ex) {
 			RowLog.unreadable(key, ex);
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/DeniableStore.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultInjectingStore.java
@@ -15,43 +15,43 @@
  * A connection to a table service that can reject one gateway while the service accepts
  * others, or lose its requests.
  */
-final class DeniableStore implements RowStore {
+final class FaultInjectingStore implements RowStore {
 
 	private final RowStore store;
 
-	private final Sinks.One<Void> denied = Sinks.one();
+	private final Sinks.One<Void> rejection = Sinks.one();
 
 	/** Fails the outstanding requests. */
-	private volatile Sinks.One<Void> broken = Sinks.one();
+	private volatile Sinks.One<Void> outstandingFailure = Sinks.one();
 
 	/** Set to true to leave the outstanding requests without a response. */
-	private volatile AtomicBoolean silent = new AtomicBoolean();
+	private volatile AtomicBoolean outstandingDropped = new AtomicBoolean();
 
-	private volatile boolean denying;
+	private volatile boolean rejecting;
 
-	private volatile boolean denyingWrites;
+	private volatile boolean rejectingWrites;
 
-	DeniableStore(RowStore store) {
+	FaultInjectingStore(RowStore store) {
 		this.store = store;
 	}
 
 	/** Rejects all requests from now on, and fails the outstanding ones. */
 	void deny() {
-		this.denying = true;
-		this.denied.tryEmitError(failure());
+		this.rejecting = true;
+		this.rejection.tryEmitError(failure());
 	}
 
 	/** Fails the outstanding requests; later requests are served. */
-	void breakOff() {
-		Sinks.One<Void> now = this.broken;
-		this.broken = Sinks.one();
+	void failOutstanding() {
+		Sinks.One<Void> now = this.outstandingFailure;
+		this.outstandingFailure = Sinks.one();
 		now.tryEmitError(failure());
 	}
 
 	/** Leaves the outstanding requests without a response; later requests are served. */
-	void silence() {
-		AtomicBoolean now = this.silent;
-		this.silent = new AtomicBoolean();
+	void dropOutstanding() {
+		AtomicBoolean now = this.outstandingDropped;
+		this.outstandingDropped = new AtomicBoolean();
 		now.set(true);
 	}
 
@@ -59,13 +59,13 @@
 	 * Rejects the gateway's writes, or accepts them again.
 	 * @param now whether writes are rejected
 	 */
-	void denyWrites(boolean now) {
-		this.denyingWrites = now;
+	void rejectWrites(boolean now) {
+		this.rejectingWrites = now;
 	}
 
 	@Override
 	public Mono<Outcome> commit(Commit commit) {
-		return Mono.defer(() -> this.denyingWrites ? Mono.error(failure()) : guarded(this.store.commit(commit)));
+		return Mono.defer(() -> this.rejectingWrites ? Mono.error(failure()) : guarded(this.store.commit(commit)));
 	}
 
 	@Override
@@ -79,11 +79,13 @@
 	}
 
 	private <T> Mono<T> guarded(Mono<T> call) {
-		return Mono.defer(() -> this.denying ? Mono.error(failure()) : Mono.firstWithSignal(heard(call, this.silent),
-				this.denied.asMono().then(Mono.never()), this.broken.asMono().then(Mono.never())));
+		return Mono.defer(() -> this.rejecting ? Mono.error(failure())
+				: Mono.firstWithSignal(unlessDropped(call, this.outstandingDropped),
+						this.rejection.asMono().then(Mono.never()),
+						this.outstandingFailure.asMono().then(Mono.never())));
 	}
 
-	private static <T> Mono<T> heard(Mono<T> call, AtomicBoolean never) {
+	private static <T> Mono<T> unlessDropped(Mono<T> call, AtomicBoolean never) {
 		return call.flatMap((answer) -> never.get() ? Mono.never() : Mono.just(answer));
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FollowedTableTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FollowedTableTests.java
@@ -17,17 +17,17 @@
 	// Guards against applying another gateway's older table after newer changes from the
 	// store.
 	@Test
-	void shouldNotGoBackToOlderTable() {
-		assertThat(this.table.all(List.of(row("ready", 10)), 10)).isTrue();
-		this.table.changed(List.of(row("leaving", 20)), 20);
-		assertThat(this.table.all(List.of(row("ready", 10)), 15)).isFalse();
+	void shouldKeepNewerTableWhenOlderOneArrives() {
+		assertThat(this.table.replace(List.of(row("ready", 10)), 10)).isTrue();
+		this.table.apply(List.of(row("leaving", 20)), 20);
+		assertThat(this.table.replace(List.of(row("ready", 10)), 15)).isFalse();
 		assertThat(this.table.version()).isEqualTo(20);
 		assertThat(this.table.newerThan(0).orElseThrow().getRows(0).getValue().toStringUtf8()).isEqualTo("leaving");
 	}
 
 	@Test
-	void shouldGiveOnlyWhatIsNewer() {
-		this.table.all(List.of(row("ready", 10)), 10);
+	void shouldReturnTableWhenItIsNewer() {
+		this.table.replace(List.of(row("ready", 10)), 10);
 		assertThat(this.table.newerThan(9)).isPresent();
 		assertThat(this.table.newerThan(10)).isEmpty();
 	}
@@ -35,20 +35,20 @@
 	// Guards against applying an older response of the store after a newer row from
 	// another gateway.
 	@Test
-	void shouldPassOverChangesKnownBefore() {
-		this.table.all(List.of(row("ready", 10)), 10);
-		assertThat(this.table.changed(List.of(row("leaving", 20)), 20)).hasSize(1);
-		assertThat(this.table.changed(List.of(row("slow", 15)), 15)).isEmpty();
+	void shouldIgnoreChangesWhenTheyAreOlder() {
+		this.table.replace(List.of(row("ready", 10)), 10);
+		assertThat(this.table.apply(List.of(row("leaving", 20)), 20)).hasSize(1);
+		assertThat(this.table.apply(List.of(row("slow", 15)), 15)).isEmpty();
 		assertThat(this.table.newerThan(0).orElseThrow().getRows(0).getValue().toStringUtf8()).isEqualTo("leaving");
 		assertThat(this.table.version()).isEqualTo(20);
 	}
 
 	@Test
-	void shouldTellChangesOfLateAsLongAsAllAreKept() {
-		this.table.all(List.of(row("ready", 10)), 10);
+	void shouldReturnRecentChangesWhenAllAreRetained() {
+		this.table.replace(List.of(row("ready", 10)), 10);
 		assertThat(this.table.changesSince(9)).isEmpty();
 		for (int version = 11; version <= 100; version++) {
-			this.table.changed(List.of(row("v" + version, version)), version);
+			this.table.apply(List.of(row("v" + version, version)), version);
 		}
 		assertThat(this.table.changesSince(98).orElseThrow()).extracting(Row::version).containsExactly(99L, 100L);
 		assertThat(this.table.changesSince(100).orElseThrow()).isEmpty();
@@ -58,9 +58,9 @@
 	// Guards against all other gateways reading the table from the store after one
 	// gateway has read it in full.
 	@Test
-	void shouldTellWhatWasFoundWhenTheTableIsReadAnew() {
-		this.table.all(List.of(row("s1", "ready", 10), row("s2", "ready", 9)), 10);
-		this.table.all(List.of(row("s1", "leaving", 12), row("s3", "ready", 11)), 15);
+	void shouldReturnFoundChangesWhenTableIsReadInFull() {
+		this.table.replace(List.of(row("s1", "ready", 10), row("s2", "ready", 9)), 10);
+		this.table.replace(List.of(row("s1", "leaving", 12), row("s3", "ready", 11)), 15);
 		List<Row> changes = this.table.changesSince(10).orElseThrow();
 		assertThat(changes).extracting(Row::key).containsExactly("s3", "s1", "s2");
 		assertThat(changes).extracting(Row::version).containsExactly(11L, 12L, 15L);
@@ -71,10 +71,10 @@
 	// older than their own version, so the change must not be sent as one of the recent
 	// ones.
 	@Test
-	void shouldTellNothingOfItWhenChangesWereMissedBefore() {
-		this.table.all(List.of(row("s1", "ready", 10)), 10);
-		this.table.changed(List.of(), 14);
-		this.table.all(List.of(row("s1", "leaving", 12)), 15);
+	void shouldReturnNoChangesWhenEarlierOnesWereMissed() {
+		this.table.replace(List.of(row("s1", "ready", 10)), 10);
+		this.table.apply(List.of(), 14);
+		this.table.replace(List.of(row("s1", "leaving", 12)), 15);
 		assertThat(this.table.changesSince(14)).isEmpty();
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayHarness.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayHarness.java
@@ -56,7 +56,7 @@
 
 	final MemoryRowStore store;
 
-	final DeniableStore access;
+	final FaultInjectingStore access;
 
 	final PlainCodecs codecs;
 
@@ -84,7 +84,7 @@
 	private GatewayHarness(String name, long usageWindowMillis, long stopMillis, long quotaWindowMillis,
 			MemoryRowStore store, PlainCodecs codecs) {
 		this.store = store;
-		this.access = new DeniableStore(store);
+		this.access = new FaultInjectingStore(store);
 		this.codecs = codecs;
 		this.settings = settings(name, new GatewaySettings.Bounds(stopMillis, 100, 0.2, 64, RETRY_WINDOW_MILLIS,
 				quotaWindowMillis, 0, usageWindowMillis, CHANGE_MILLIS, HEARTBEAT_MILLIS, EXPOSURE_SHARE));
@@ -95,7 +95,8 @@
 	}
 
 	private static GatewaySettings settings(String name, GatewaySettings.Bounds bounds) {
-		return new GatewaySettings(name, "a", List.of("a"), free(), free(), "/ready", free(), free(), bounds);
+		return new GatewaySettings(name, "a", List.of("a"), freeAddress(), freeAddress(), "/ready", freeAddress(),
+				freeAddress(), bounds);
 	}
 
 	/**
@@ -124,7 +125,7 @@
 	 * @param other the first gateway
 	 * @return the second gateway
 	 */
-	static GatewayHarness startBeside(GatewayHarness other) {
+	static GatewayHarness startSecond(GatewayHarness other) {
 		return new GatewayHarness("gateway-2", other.settings.bounds().usageWindowMillis(), other.store, other.codecs);
 	}
 
@@ -208,7 +209,7 @@
 	 */
 	GatewayHarness ready() throws IOException {
 		await(() -> System.nanoTime() - this.startedNanos > RETRY_WINDOW_MILLIS * 1_000_000);
-		await(() -> readiness() == 200 && this.registered.stream().allMatch(this.process::knows));
+		await(() -> readiness() == 200 && this.registered.stream().allMatch(this.process::knowsServer));
 		return this;
 	}
 
@@ -275,19 +276,19 @@
 	 * Returns the number of live gateways that this one knows.
 	 * @return the number, including itself
 	 */
-	int hears() {
-		return this.process.living();
+	int liveGateways() {
+		return this.process.liveGateways();
 	}
 
 	boolean knows(String server) {
-		return this.process.knows(server);
+		return this.process.knowsServer(server);
 	}
 
 	/**
 	 * Returns whether the gateway reads the tables from the store itself.
 	 * @return false while it receives the changes from other gateways
 	 */
-	boolean reads() {
+	boolean readsTables() {
 		return this.process.readsTables();
 	}
 
@@ -295,8 +296,8 @@
 	 * Returns the coefficients that the gateway has learned for the time to first token.
 	 * @return the rates, empty while they rest on too few calls
 	 */
-	List<Double> learned() {
-		return this.process.learned("app");
+	List<Double> learnedRates() {
+		return this.process.learnedRates("app");
 	}
 
 	/**
@@ -326,7 +327,7 @@
 		this.store.close();
 	}
 
-	private static InetSocketAddress free() {
+	private static InetSocketAddress freeAddress() {
 		return new InetSocketAddress("127.0.0.1", FreePorts.one());
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/BeliefsTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayProcessTests.java
@@ -22,12 +22,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class BeliefsTests {
+class GatewayProcessTests {
 
 	// -- configuration
 
 	@Test
-	void shouldTakeNewerConfigurationAndNeverAnOlder() throws IOException {
+	void shouldApplyOnlyNewerConfigurationWhenSeveralAreWritten() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start()) {
 			gateway.declare().ready();
 			assertThat(gateway.ask(RawCaller.get("c1", "/sheets/")).status()).isEqualTo(503);
@@ -42,7 +42,7 @@
 	// Guards against treating a configuration row that cannot be decoded as a missing
 	// configuration.
 	@Test
-	void shouldKeepConfigurationWhenNewerCannotBeRead() throws IOException {
+	void shouldKeepConfigurationWhenNewerOneCannotBeDecoded() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start()) {
 			gateway.declare().ready();
 			gateway.store.put("declared", "traffic", "{ cut in ha");
@@ -52,7 +52,7 @@
 	}
 
 	@Test
-	void shouldTakeConfigurationThatCameWhileStoreWasAwayOrForgot() throws IOException {
+	void shouldApplyConfigurationWhenWrittenDuringOutageAndHistoryIsLost() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start()) {
 			gateway.declare().ready();
 			gateway.store.away(true);
@@ -67,12 +67,12 @@
 	// Guards against a gateway rejected by the store that keeps using revoked keys and
 	// removed servers.
 	@Test
-	void shouldLearnFromOtherGatewaysWhenStoreTurnsItAway() throws IOException {
+	void shouldReadTablesFromOtherGatewayWhenStoreRejectsRequests() throws IOException {
 		try (GatewayHarness other = GatewayHarness.start();
-				GatewayHarness gateway = GatewayHarness.startBeside(other);
+				GatewayHarness gateway = GatewayHarness.startSecond(other);
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			other.declare().register("s1", server).ready();
-			GatewayHarness.await(() -> status(gateway, "key-1") == 200 && gateway.hears() == 2);
+			GatewayHarness.await(() -> status(gateway, "key-1") == 200 && gateway.liveGateways() == 2);
 			gateway.access.deny();
 			other.store.put(GatewayHarness.SERVERS, "s1", "app " + server.address() + " leaving");
 			GatewayHarness.await(() -> status(gateway, "key-1") == 503);
@@ -85,7 +85,7 @@
 	// -- servers
 
 	@Test
-	void shouldSendNothingToServerThatSaysItLeaves() throws IOException {
+	void shouldSendNoCallsWhenServerIsLeaving() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
@@ -101,7 +101,7 @@
 	// Guards against an older heartbeat of the server that is written late and replaces
 	// its announcement that it leaves.
 	@Test
-	void shouldSendNothingToLeavingServerWhoseOlderRegistrationComesLate() throws IOException {
+	void shouldSendNoCallsToLeavingServerWhenOlderRegistrationArrivesLate() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
@@ -116,7 +116,7 @@
 	// Guards against calling a server by its previous registration after the current one
 	// was corrupted.
 	@Test
-	void shouldSendNothingToServerWhoseRegistrationWasSpoiled() throws IOException {
+	void shouldSendNoCallsWhenRegistrationIsCorrupted() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
@@ -131,7 +131,7 @@
 
 	// Guards against waiting for responses of a server's previous start.
 	@Test
-	void shouldEndCallsOfServerThatStartedAgain() throws IOException {
+	void shouldFailCallsWhenServerRestarts() throws IOException {
 		AtomicBoolean asked = new AtomicBoolean();
 		try (GatewayHarness gateway = GatewayHarness.start();
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> asked.set(true))) {
@@ -148,20 +148,20 @@
 	// A deployment uses servers of unknown speed. The gateway ignored the latencies of
 	// its calls and kept its initial estimates, and other gateways received none either.
 	@Test
-	void shouldLearnFromCallsAndTellOtherGateways() throws IOException {
+	void shouldLearnRatesAndReachOtherGatewayWhenCallsComplete() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
-				GatewayHarness other = GatewayHarness.startBeside(gateway);
+				GatewayHarness other = GatewayHarness.startSecond(gateway);
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
 			for (int i = 0; i < 80; i++) {
 				String prompt = "Prompt: a:300,own" + i + ":" + (20 + i) + "\r\nKey:";
 				gateway.ask(RawCaller.post("c" + i, "/drafts/", "x").replace("Key:", prompt));
 			}
-			GatewayHarness.await(() -> !gateway.learned().isEmpty());
+			GatewayHarness.await(() -> !gateway.learnedRates().isEmpty());
 			// A local server responds immediately, so the learned rate is far below the
 			// conservative initial estimate.
-			assertThat(gateway.learned().getFirst()).isLessThan(30);
-			GatewayHarness.await(() -> other.hears() == 2);
+			assertThat(gateway.learnedRates().getFirst()).isLessThan(30);
+			GatewayHarness.await(() -> other.liveGateways() == 2);
 			assertThat(server.requests()).hasSize(80);
 		}
 	}
@@ -169,12 +169,12 @@
 	// Guards against treating a missing response as "no changes": calls still went to a
 	// server that had left.
 	@Test
-	void shouldLearnThatServerLeavesWhenItsQuestionIsNeverAnswered() throws IOException {
+	void shouldDetectLeavingServerWhenQueryGetsNoResponse() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
-			GatewayHarness.await(() -> gateway.store.waiting(GatewayHarness.SERVERS) == 1);
-			gateway.access.silence();
+			GatewayHarness.await(() -> gateway.store.waitingRequests(GatewayHarness.SERVERS) == 1);
+			gateway.access.dropOutstanding();
 			gateway.store.put(GatewayHarness.SERVERS, "s1", "app " + server.address() + " leaving");
 			GatewayHarness.await(() -> status(gateway, "key-1") == 503);
 		}
@@ -183,12 +183,12 @@
 	// Guards against treating one failed query as an outage in which registrations
 	// expire: a server that had left was kept, and received calls.
 	@Test
-	void shouldDropServerWhoseRegistrationEndsBehindOneFailedQuestion() throws IOException {
+	void shouldDropServerWhenRegistrationIsRemovedAfterOneFailedQuery() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
-			GatewayHarness.await(() -> gateway.store.waiting(GatewayHarness.SERVERS) == 1);
-			gateway.access.breakOff();
+			GatewayHarness.await(() -> gateway.store.waitingRequests(GatewayHarness.SERVERS) == 1);
+			gateway.access.failOutstanding();
 			gateway.store.put(GatewayHarness.SERVERS, "s2", "app " + server.address() + " ready");
 			GatewayHarness.await(() -> gateway.knows("s2"));
 			gateway.store.remove(GatewayHarness.SERVERS, "s1");
@@ -201,7 +201,7 @@
 	// Registrations expire during an outage of the store, including those of live
 	// servers.
 	@Test
-	void shouldKeepServerForAWhileWhoseRegistrationEndedInAnOutage() throws Exception {
+	void shouldKeepServerTemporarilyWhenRegistrationExpiredDuringOutage() throws Exception {
 		try (GatewayHarness gateway = GatewayHarness.start();
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
@@ -217,7 +217,7 @@
 	}
 
 	@Test
-	void shouldServeOnWhileStoreIsAway() throws IOException {
+	void shouldServeCallsWhenStoreIsUnavailable() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
@@ -234,7 +234,7 @@
 	// While the store rejected writes, each gateway retried writing its counts ten times
 	// a second.
 	@Test
-	void shouldNotPressStoreThatTakesNoCounts() throws Exception {
+	void shouldLimitRetriesWhenStoreRejectsCounts() throws Exception {
 		try (GatewayHarness gateway = GatewayHarness.startWithUsageWindow(1_000);
 				ScriptedServer _ = gateway.serving((request, exchange) -> exchange.ok(request, "x"))) {
 			assertThat(status(gateway, "key-1")).isEqualTo(200);
@@ -250,14 +250,14 @@
 	// fault that is counted against the operators. Here the response to the first report
 	// is lost.
 	@Test
-	void shouldRepeatReportExactlyWhenItsAnswerIsLost() throws IOException {
+	void shouldRepeatIdenticalReportWhenResponseIsLost() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.startWithUsageWindow(1_000);
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
-			gateway.duties.losingAnswers(true);
+			gateway.duties.losingResponses(true);
 			gateway.declare().register("s1", server).ready();
 			GatewayHarness.await(() -> status(gateway, "key-1") == 200);
-			GatewayHarness.await(() -> repeats(gateway.duties.usages()) >= 1);
-			gateway.duties.losingAnswers(false);
+			GatewayHarness.await(() -> repeatedReports(gateway.duties.usages()) >= 1);
+			gateway.duties.losingResponses(false);
 			List<Usage> all = List.copyOf(gateway.duties.usages());
 			for (Usage usage : all) {
 				assertThat(all.stream().filter((other) -> other.window() == usage.window()))
@@ -270,7 +270,7 @@
 	// with its old fencing number, was rejected on each attempt, and its windows were
 	// never reported.
 	@Test
-	void shouldTakeDutiesAnewWhenANewerHolderActed() throws IOException {
+	void shouldReacquireDutiesWhenNewerHolderActed() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.startWithUsageWindow(1_000)) {
 			gateway.duties.fencedBelow(4);
 			gateway.declare().ready();
@@ -280,7 +280,7 @@
 	}
 
 	@Test
-	void shouldReportAllCallsThatRan() throws IOException {
+	void shouldReportAllCallsWhenTheyHaveRun() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.startWithUsageWindow(1_000);
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
@@ -289,7 +289,7 @@
 				status(gateway, "key-1");
 			}
 			long ran = server.requests().size();
-			GatewayHarness.await(() -> reported(gateway) == ran);
+			GatewayHarness.await(() -> reportedCalls(gateway) == ran);
 		}
 	}
 
@@ -298,7 +298,7 @@
 	// more.
 	@ParameterizedTest
 	@ValueSource(strings = { "gateway-9/0/1", "~sum" })
-	void shouldReportWindowsBehindOneWithUnreadableCounts(String row) throws IOException {
+	void shouldReportLaterWindowsWhenCountsOfOneCannotBeDecoded(String row) throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.startWithUsageWindow(1_000)) {
 			long window = System.currentTimeMillis() / 1_000 + 1;
 			gateway.store.put("usage", String.format("%012d/%s", window, row), "no counts");
@@ -310,19 +310,19 @@
 	// The store rejects one gateway and serves the others. Its row of counts comes too
 	// late for the report, which then lacks the calls that ran there.
 	@Test
-	void shouldReportCallsOfGatewayThatTheStoreTurnsAway() throws IOException {
+	void shouldReportCallsOfGatewayWhenStoreRejectsIt() throws IOException {
 		try (GatewayHarness holder = GatewayHarness.startWithUsageWindow(1_000);
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			holder.declare().register("s1", server).ready();
 			GatewayHarness.await(() -> !holder.duties.usages().isEmpty());
-			try (GatewayHarness denied = GatewayHarness.startBeside(holder).ready()) {
-				GatewayHarness.await(() -> holder.hears() == 2 && denied.hears() == 2);
+			try (GatewayHarness denied = GatewayHarness.startSecond(holder).ready()) {
+				GatewayHarness.await(() -> holder.liveGateways() == 2 && denied.liveGateways() == 2);
 				denied.access.deny();
 				for (int i = 0; i < 20; i++) {
 					status(denied, "key-1");
 				}
 				long ran = server.requests().size();
-				GatewayHarness.await(() -> reported(holder) == ran);
+				GatewayHarness.await(() -> reportedCalls(holder) == ran);
 			}
 		}
 	}
@@ -333,7 +333,7 @@
 	// rejected so that they are retried elsewhere, and the duties must pass to another
 	// process immediately.
 	@Test
-	void shouldFinishCallsAndGiveDutiesBackWhenStopped() throws Exception {
+	void shouldFinishCallsAndReleaseDutiesWhenStopped() throws Exception {
 		GatewayHarness gateway = GatewayHarness.start();
 		CompletableFuture<Void> go = new CompletableFuture<>();
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> {
@@ -365,7 +365,7 @@
 	// callers to all of them. A call accepted seconds after the stop signal would be cut
 	// off by the kill.
 	@Test
-	void shouldTellToComeBackWhenCalledLongAfterStopSignal() throws Exception {
+	void shouldRefuseCallsWithRetryAfterWhenReceivedAfterStopSignal() throws Exception {
 		GatewayHarness gateway = GatewayHarness.start();
 		CompletableFuture<Void> go = new CompletableFuture<>();
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> {
@@ -394,7 +394,7 @@
 	// timeout ends before the kill is served, and is counted although the counts were
 	// handed over before.
 	@Test
-	void shouldServeCallsThatEndBeforeTheKill() throws Exception {
+	void shouldServeCallsWhenTheirTimeoutEndsBeforeKill() throws Exception {
 		GatewayHarness gateway = GatewayHarness.startWithUsageWindow(60_000);
 		CompletableFuture<Void> go = new CompletableFuture<>();
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> {
@@ -413,7 +413,7 @@
 			assertThat(gateway.ask(RawCaller.get("c3", "/short/")).status()).isEqualTo(200);
 			go.complete(null);
 			stopped.get(10, TimeUnit.SECONDS);
-			assertThat(counted(gateway)).isEqualTo(server.requests().size());
+			assertThat(countedCalls(gateway)).isEqualTo(server.requests().size());
 		}
 		finally {
 			gateway.store.close();
@@ -424,7 +424,7 @@
 	// without a request were closed every 50 ms, including those just opened. On a loaded
 	// machine some of the twenty still wait too long.
 	@Test
-	void shouldAnswerCallersWhoConnectWhileItStops() throws Exception {
+	void shouldRespondToCallersWhenTheyConnectDuringShutdown() throws Exception {
 		GatewayHarness gateway = GatewayHarness.start();
 		CompletableFuture<Void> go = new CompletableFuture<>();
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> {
@@ -438,7 +438,7 @@
 			GatewayHarness.await(() -> refuses(gateway, "/nowhere/"));
 			int answered = 0;
 			for (int i = 0; i < 20; i++) {
-				answered += answersAfter(gateway, 60) ? 1 : 0;
+				answered += respondsAfter(gateway, 60) ? 1 : 0;
 			}
 			go.complete(null);
 			assertThat(first.read().status()).isEqualTo(200);
@@ -450,7 +450,7 @@
 		}
 	}
 
-	private static boolean answersAfter(GatewayHarness gateway, long millis) throws Exception {
+	private static boolean respondsAfter(GatewayHarness gateway, long millis) throws Exception {
 		try (RawCaller caller = gateway.caller()) {
 			Thread.sleep(millis);
 			return caller.send(RawCaller.post("c2", "/visits/", "x")).read().status() == 503;
@@ -463,16 +463,16 @@
 	// A stopping process whose calls have ended writes its last counts and exits as soon
 	// as they are written, which would cut off a call accepted in the meantime.
 	@Test
-	void shouldTakeNoCallOnceItOnlyWritesItsCounts() throws Exception {
+	void shouldRefuseCallsWhenOnlyCountsRemainToBeWritten() throws Exception {
 		GatewayHarness gateway = GatewayHarness.startWithStopTime(30_000);
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
 			assertThat(status(gateway, "key-1")).isEqualTo(200);
-			gateway.access.denyWrites(true);
+			gateway.access.rejectWrites(true);
 			CompletableFuture<Void> stopped = CompletableFuture.runAsync(gateway::stop);
 			GatewayHarness.await(() -> refuses(gateway, "/short/"));
 			assertThat(stopped).isNotDone();
-			gateway.access.denyWrites(false);
+			gateway.access.rejectWrites(false);
 			stopped.get(10, TimeUnit.SECONDS);
 		}
 		finally {
@@ -481,7 +481,7 @@
 	}
 
 	// Counts the calls of one organisation in the usage rows.
-	private static long counted(GatewayHarness gateway) {
+	private static long countedCalls(GatewayHarness gateway) {
 		Pattern count = Pattern.compile("\"sfax\":([0-9]+)");
 		return gateway.store.rows("usage")
 			.values()
@@ -504,11 +504,11 @@
 	}
 
 	// Counts the calls of one organisation in the usage reports.
-	private static long reported(GatewayHarness gateway) {
+	private static long reportedCalls(GatewayHarness gateway) {
 		return gateway.duties.usages().stream().mapToLong((usage) -> usage.counts().getOrDefault("sfax", 0L)).sum();
 	}
 
-	private static int repeats(List<Usage> usages) {
+	private static int repeatedReports(List<Usage> usages) {
 		return usages.size() - (int) usages.stream().mapToLong(Usage::window).distinct().count();
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/MemoryRowStore.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/MemoryRowStore.java
@@ -26,7 +26,7 @@
 
 	private long version;
 
-	private long historyFrom;
+	private long historyStart;
 
 	private boolean away;
 
@@ -36,7 +36,7 @@
 	private boolean closed;
 
 	/** Waiting requests for changes, by table. */
-	private final Map<String, Integer> waiting = new HashMap<>();
+	private final Map<String, Integer> waitingRequests = new HashMap<>();
 
 	// -- methods for tests
 
@@ -69,8 +69,8 @@
 	 * @param table the table
 	 * @return the count
 	 */
-	synchronized int waiting(String table) {
-		return this.waiting.getOrDefault(table, 0);
+	synchronized int waitingRequests(String table) {
+		return this.waitingRequests.getOrDefault(table, 0);
 	}
 
 	/** Completes all waiting requests, so that no thread outlives its test. */
@@ -81,7 +81,7 @@
 
 	synchronized void forgetHistory() {
 		this.history.clear();
-		this.historyFrom = this.version;
+		this.historyStart = this.version;
 	}
 
 	synchronized Map<String, Row> rows(String table) {
@@ -92,24 +92,24 @@
 
 	@Override
 	public Mono<Outcome> commit(Commit commit) {
-		return Mono.fromCallable(() -> committed(commit)).subscribeOn(Schedulers.boundedElastic());
+		return Mono.fromCallable(() -> applyCommit(commit)).subscribeOn(Schedulers.boundedElastic());
 	}
 
 	@Override
 	public Mono<Page> read(Range range) {
-		return Mono.fromCallable(() -> page(range)).subscribeOn(Schedulers.boundedElastic());
+		return Mono.fromCallable(() -> readPage(range)).subscribeOn(Schedulers.boundedElastic());
 	}
 
 	@Override
 	public Mono<Page> changes(String table, long since, Duration wait) {
-		return Mono.fromCallable(() -> changed(table, since, wait)).subscribeOn(Schedulers.boundedElastic());
+		return Mono.fromCallable(() -> awaitChanges(table, since, wait)).subscribeOn(Schedulers.boundedElastic());
 	}
 
-	private synchronized Outcome committed(Commit commit) {
+	private synchronized Outcome applyCommit(Commit commit) {
 		if (this.away) {
 			this.refusedCommits.merge(commit.table(), 1, Integer::sum);
 		}
-		check();
+		checkAvailable();
 		TreeMap<String, Row> rows = this.tables.computeIfAbsent(commit.table(), (_) -> new TreeMap<>());
 		for (Condition condition : commit.conditions()) {
 			long found = Optional.ofNullable(rows.get(condition.key())).map(Row::version).orElse(0L);
@@ -123,8 +123,8 @@
 		return new Outcome.Committed(this.version);
 	}
 
-	private synchronized Page page(Range range) {
-		check();
+	private synchronized Page readPage(Range range) {
+		checkAvailable();
 		List<Row> rows = this.tables.getOrDefault(range.table(), new TreeMap<>())
 			.values()
 			.stream()
@@ -134,11 +134,11 @@
 		return new Page(rows, false, this.version);
 	}
 
-	private synchronized Page changed(String table, long since, Duration wait) throws InterruptedException {
+	private synchronized Page awaitChanges(String table, long since, Duration wait) throws InterruptedException {
 		long until = System.nanoTime() + wait.toNanos();
 		while (true) {
-			check();
-			if (since < this.historyFrom) {
+			checkAvailable();
+			if (since < this.historyStart) {
 				throw StoreException.of(Reason.HISTORY_LOST, Verdict.notRun(), "history lost");
 			}
 			List<Row> rows = this.history.stream()
@@ -149,13 +149,13 @@
 			if (!rows.isEmpty() || left <= 0 || this.closed) {
 				return new Page(rows, false, this.version);
 			}
-			this.waiting.merge(table, 1, Integer::sum);
+			this.waitingRequests.merge(table, 1, Integer::sum);
 			wait(Math.max(1, left / 1_000_000));
-			this.waiting.merge(table, -1, Integer::sum);
+			this.waitingRequests.merge(table, -1, Integer::sum);
 		}
 	}
 
-	private void check() {
+	private void checkAvailable() {
 		if (this.away) {
 			throw StoreException.of(Reason.UNAVAILABLE, Verdict.notRun(), "away");
 		}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PeerExchangeTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PeerExchangeTests.java
@@ -24,19 +24,19 @@
 
 class PeerExchangeTests {
 
-	private static final InetAddress HERE = InetAddress.getLoopbackAddress();
+	private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
 	// Guards against reaching gateways found after the first report a second late.
 	@Test
-	void shouldTellInNextReportGatewayThatWasFoundBehindTheFirst() throws Exception {
+	void shouldSendNextReportToGatewayWhenAddedAfterFirst() throws Exception {
 		LoopResources loops = LoopResources.create("test", 1, true);
-		try (DatagramSocket other = new DatagramSocket(0, HERE);
-				PeerExchange exchange = PeerExchange.open(loops.onServer(false).next(), new InetSocketAddress(HERE, 0),
-						"gateway-1", 7, (_) -> {
+		try (DatagramSocket other = new DatagramSocket(0, LOOPBACK);
+				PeerExchange exchange = PeerExchange.open(loops.onServer(false).next(),
+						new InetSocketAddress(LOOPBACK, 0), "gateway-1", 7, (_) -> {
 						})) {
-			tell(exchange);
-			exchange.found("gateway-2", new InetSocketAddress(HERE, other.getLocalPort()));
-			tell(exchange);
+			broadcast(exchange);
+			exchange.addPeer("gateway-2", new InetSocketAddress(LOOPBACK, other.getLocalPort()));
+			broadcast(exchange);
 			other.setSoTimeout(5_000);
 			DatagramPacket packet = new DatagramPacket(new byte[1_000], 1_000);
 			other.receive(packet);
@@ -48,21 +48,21 @@
 	// Guards against a slow link that drops the end of a burst: with a fixed order, the
 	// same gateways never received a report.
 	@Test
-	void shouldReachEachGatewayWhenOnlyTheFirstHalfOfTheReportsPasses() throws Exception {
+	void shouldReachEachGatewayWhenOnlyFirstHalfOfReportsIsDelivered() throws Exception {
 		LoopResources loops = LoopResources.create("test", 1, true);
-		try (DatagramSocket others = new DatagramSocket(0, HERE);
-				PeerExchange exchange = PeerExchange.open(loops.onServer(false).next(), new InetSocketAddress(HERE, 0),
-						"gateway", 7, (_) -> {
+		try (DatagramSocket others = new DatagramSocket(0, LOOPBACK);
+				PeerExchange exchange = PeerExchange.open(loops.onServer(false).next(),
+						new InetSocketAddress(LOOPBACK, 0), "gateway", 7, (_) -> {
 						})) {
 			others.setSoTimeout(5_000);
 			Map<String, Integer> numbers = new HashMap<>();
 			for (int i = 1; i <= 20; i++) {
 				numbers.put("gateway-" + i, i);
-				exchange.found("gateway-" + i, new InetSocketAddress(HERE, others.getLocalPort()));
+				exchange.addPeer("gateway-" + i, new InetSocketAddress(LOOPBACK, others.getLocalPort()));
 			}
 			Set<Integer> reached = new HashSet<>();
 			for (int i = 0; i < 3; i++) {
-				exchange.tell(GatewayReport.newBuilder(), (_) -> true,
+				exchange.broadcast(GatewayReport.newBuilder(), (_) -> true,
 						(gateway) -> Optional.of(new Confirmation(1, numbers.get(gateway))));
 				List<Integer> order = receivers(others, 20);
 				reached.addAll(order.subList(0, 10));
@@ -83,8 +83,8 @@
 		return receivers;
 	}
 
-	private static void tell(PeerExchange exchange) {
-		exchange.tell(GatewayReport.newBuilder(), (_) -> false, (_) -> Optional.empty());
+	private static void broadcast(PeerExchange exchange) {
+		exchange.broadcast(GatewayReport.newBuilder(), (_) -> false, (_) -> Optional.empty());
 	}
 
 }
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/QuotaSharingTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/QuotaSharingTests.java
@@ -18,14 +18,14 @@
 
 	private static final double CALLS_PER_SECOND = 100;
 
-	private static final int FLOOD_MILLIS = 4_000;
+	private static final int BURST_MILLIS = 4_000;
 
 	// All processes are killed during an outage of the store, and start before it ends.
 	// Their first read of the table of gateways failed, and the next one was ten seconds
 	// later: each process took itself for the only gateway, and an organisation that sent
 	// a burst right after the outage got its whole quota from each of them.
 	@Test
-	void shouldHoldQuotaWhenStoreIsAwayAtTheStart() throws Exception {
+	void shouldEnforceQuotaWhenStoreIsUnavailableAtStart() throws Exception {
 		MemoryRowStore store = new MemoryRowStore();
 		store.away(true);
 		List<GatewayHarness> fleet = GatewayHarness.startFleet(store, 3, WINDOW_MILLIS);
@@ -39,8 +39,8 @@
 			for (GatewayHarness gateway : fleet) {
 				gateway.register("s1", server).ready();
 			}
-			flood(fleet);
-			double allowed = CALLS_PER_SECOND * FLOOD_MILLIS / 1_000;
+			sendBurst(fleet);
+			double allowed = CALLS_PER_SECOND * BURST_MILLIS / 1_000;
 			assertThat((double) server.requests().size()).isBetween(1.0, 1.5 * allowed);
 		}
 		finally {
@@ -48,8 +48,8 @@
 		}
 	}
 
-	private static void flood(List<GatewayHarness> fleet) throws Exception {
-		long until = System.nanoTime() + FLOOD_MILLIS * 1_000_000L;
+	private static void sendBurst(List<GatewayHarness> fleet) throws Exception {
+		long until = System.nanoTime() + BURST_MILLIS * 1_000_000L;
 		try (ExecutorService callers = Executors.newVirtualThreadPerTaskExecutor()) {
 			List<Future<?>> all = fleet.stream()
 				.<Future<?>>map((gateway) -> callers.submit(() -> call(gateway, until)))
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RecordedDuties.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RecordedDuties.java
@@ -19,7 +19,7 @@
 
 	private final List<Size> sizes = new CopyOnWriteArrayList<>();
 
-	private volatile boolean losingAnswers;
+	private volatile boolean losingResponses;
 
 	private volatile long fencedBelow;
 
@@ -35,8 +35,8 @@
 		this.fencedBelow = fence;
 	}
 
-	void losingAnswers(boolean now) {
-		this.losingAnswers = now;
+	void losingResponses(boolean now) {
+		this.losingResponses = now;
 	}
 
 	@Override
@@ -45,7 +45,7 @@
 			this.usages.add(new Usage(fence, window, Map.copyOf(counts)));
 			return (fence < this.fencedBelow)
 					? Mono.error(StoreException.of(Reason.FENCED, Verdict.notRun(), "a higher fencing number was seen"))
-					: answer();
+					: respond();
 		});
 	}
 
@@ -53,12 +53,12 @@
 	public Mono<Void> resize(long fence, Size order) {
 		return Mono.defer(() -> {
 			this.sizes.add(order);
-			return answer();
+			return respond();
 		});
 	}
 
-	private Mono<Void> answer() {
-		return this.losingAnswers
+	private Mono<Void> respond() {
+		return this.losingResponses
 				? Mono.error(StoreException.of(Reason.UNREACHABLE, Verdict.mayHaveRun(), "response lost"))
 				: Mono.empty();
 	}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SendingTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SendToLeavingServerTests.java
@@ -23,12 +23,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class SendingTests {
+class SendToLeavingServerTests {
 
 	// Guards against sending a call to a server that announced between the choice of the
 	// server and the sending that it leaves.
 	@Test
-	void shouldSendNothingToServerThatLeavesWhileTheConnectionIsMade() throws IOException {
+	void shouldSendNothingToServerWhenItLeavesDuringConnect() throws IOException {
 		LoopResources loops = LoopResources.create("test", 1, true);
 		InetSocketAddress address = new InetSocketAddress("127.0.0.1", FreePorts.one());
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"));
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SharedTablesTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SharedTablesTests.java
@@ -36,28 +36,28 @@
 
 	// Guards against calls to the store that grow with the number of gateways.
 	@Test
-	void shouldReadChangesAtFewGatewaysAndTellAll() {
+	void shouldUpdateAllGatewaysWhenFewReadTheTable() {
 		for (int i = 0; i < 5; i++) {
 			String server = "s" + i;
 			this.store.put(GatewayHarness.SERVERS, server, "app 127.0.0.1:1 ready");
 			awaitKnown(this.fleet, server);
-			GatewayHarness.await(() -> this.store.waiting(GatewayHarness.SERVERS) == READERS);
+			GatewayHarness.await(() -> this.store.waitingRequests(GatewayHarness.SERVERS) == READERS);
 		}
 	}
 
 	// Guards against missing a row that does not fit into a datagram.
 	@Test
-	void shouldReadWhatIsTooLargeToBeTold() {
+	void shouldReadRowFromStoreWhenTooLargeForReport() {
 		this.store.put(GatewayHarness.SERVERS, "x".repeat(900), "app 127.0.0.1:1 ready");
 		awaitKnown(this.fleet, "x".repeat(900));
-		GatewayHarness.await(() -> this.store.waiting(GatewayHarness.SERVERS) == READERS);
+		GatewayHarness.await(() -> this.store.waitingRequests(GatewayHarness.SERVERS) == READERS);
 	}
 
 	// Guards against a store that rejects exactly those gateways that read it for all
 	// others.
 	@Test
-	void shouldReadForThemselvesWhenNoReaderIsLeft() {
-		List<GatewayHarness> readers = this.fleet.stream().filter(GatewayHarness::reads).toList();
+	void shouldReadFromStoreWhenNoReaderRemains() {
+		List<GatewayHarness> readers = this.fleet.stream().filter(GatewayHarness::readsTables).toList();
 		List<GatewayHarness> others = this.fleet.stream().filter((gateway) -> !readers.contains(gateway)).toList();
 		assertThat(others).hasSize(GATEWAYS - READERS);
 		readers.forEach((gateway) -> gateway.access.deny());
@@ -65,13 +65,13 @@
 		// relied on the readers.
 		this.store.put(GatewayHarness.SERVERS, "s1", "app 127.0.0.1:1 ready");
 		awaitKnown(this.fleet, "s1");
-		GatewayHarness.await(() -> others.stream().anyMatch(GatewayHarness::reads));
+		GatewayHarness.await(() -> others.stream().anyMatch(GatewayHarness::readsTables));
 		this.store.put(GatewayHarness.SERVERS, "s2", "app 127.0.0.1:1 ready");
 		awaitKnown(this.fleet, "s2");
 	}
 
 	private void awaitReaders(int count) {
-		GatewayHarness.await(() -> this.fleet.stream().filter(GatewayHarness::reads).count() == count);
+		GatewayHarness.await(() -> this.fleet.stream().filter(GatewayHarness::readsTables).count() == count);
 	}
 
 	private static void awaitKnown(List<GatewayHarness> gateways, String server) {
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SizeDutyTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SizeDutyTests.java
@@ -37,7 +37,7 @@
 			});
 
 	@Test
-	void shouldOrderReclaimableServersAtOnce() {
+	void shouldOrderReclaimableServersWhenThereIsNoPlanYet() {
 		act(0);
 		assertThat(this.duties.sizes()).containsExactly(new Size("llm", "a", 2, true), new Size("llm", "b", 2, true));
 	}
@@ -45,8 +45,8 @@
 	// The running servers were released before their replacements served, which left no
 	// server during the time of a boot.
 	@Test
-	void shouldKeepServersThatRunUntilOthersServe() {
-		registerLasting();
+	void shouldKeepRunningServersWhenReplacementsDoNotServeYet() {
+		registerOnDemand();
 		act(0);
 		act(2);
 		assertThat(this.duties.sizes()).allMatch(Size::reclaimable);
@@ -62,7 +62,7 @@
 	// made from the first of them released the others, and the traffic met four servers
 	// instead of seven.
 	@Test
-	void shouldPlanOnceNoMoreServersRegisterThemselves() {
+	void shouldPlanWhenNoMoreServersRegister() {
 		for (int second = 0; second < 4; second++) {
 			register("a" + second, "a", false);
 			act(second);
@@ -82,14 +82,14 @@
 	// The holder of the duties is lost during high load. Its successor had never measured
 	// the demand, and released servers that were needed.
 	@Test
-	void shouldKnowNeedWhenItTakesTheDutiesOver() {
+	void shouldKnowRequiredCapacityWhenTakingOverDuties() {
 		register("a1", "a", false);
 		for (String id : List.of("r1", "r2", "r3")) {
 			register(id + "a", "a", true);
 			register(id + "b", "b", true);
 		}
 		for (int second = 0; second < 40; second++) {
-			this.duty.look(CONFIGURATION, 150_000.0 * second, second * SECOND);
+			this.duty.updatePlans(CONFIGURATION, 150_000.0 * second, second * SECOND);
 		}
 		act(40);
 		assertThat(this.duties.sizes()).noneMatch((size) -> size.reclaimable() && size.servers() < 3);
@@ -97,8 +97,8 @@
 
 	// A zone is reclaimed: until the next plan, each second passes without its servers.
 	@Test
-	void shouldOrderAtOnceWhenServersGo() {
-		registerLasting();
+	void shouldOrderImmediatelyWhenServersAreRemoved() {
+		registerOnDemand();
 		act(0);
 		for (String id : List.of("r1", "r2")) {
 			register(id + "a", "a", true);
@@ -116,14 +116,14 @@
 	}
 
 	@Test
-	void shouldNotRepeatOrderThatIsUnderWay() {
+	void shouldNotRepeatOrderWhenItIsOutstanding() {
 		act(0);
 		act(1);
 		act(2);
 		assertThat(this.duties.sizes()).hasSize(2);
 	}
 
-	private void registerLasting() {
+	private void registerOnDemand() {
 		for (String zone : List.of("a", "b")) {
 			register(zone + "1", zone, false);
 			register(zone + "2", zone, false);
@@ -136,7 +136,7 @@
 	}
 
 	private void act(int second) {
-		this.duty.look(CONFIGURATION, 0, second * SECOND);
+		this.duty.updatePlans(CONFIGURATION, 0, second * SECOND);
 		this.duty.act(1, CONFIGURATION, second * SECOND);
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/TableWatchTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/TableWatchTests.java
@@ -25,7 +25,7 @@
 
 	// Guards against missing a row that changes while later pages are read.
 	@Test
-	void shouldAskForChangesSinceTheFirstOfSeveralPages() {
+	void shouldRequestChangesSinceFirstPageWhenThereAreSeveral() {
 		Sinks.One<Long> asked = Sinks.one();
 		RowStore store = new RowStore() {
 			@Override
@@ -55,7 +55,7 @@
 
 	// Guards against sending one request for each of many changes that arrive together.
 	@Test
-	void shouldAskFewTimesForChangesThatComeTogether() {
+	void shouldSendFewRequestsWhenChangesArriveTogether() {
 		AtomicInteger asked = new AtomicInteger();
 		RowStore store = new RowStore() {
 			@Override
@@ -87,29 +87,30 @@
 	// Guards against withholding a change that this gateway finds itself while the
 	// gateways that read the table for all do not see it.
 	@Test
-	void shouldTellChangeThatItFoundThoughItRests() {
+	void shouldSendOwnChangeWhenRoleIsResting() {
 		MemoryRowStore store = new MemoryRowStore();
 		FollowedTable known = GatewayHarness.table();
 		PeerTables peers = new PeerTables(LoopResources.create("test", 1, true), List::of);
 		try (SharedTables tables = new SharedTables(store, peers)) {
 			tables.role(Role.RESTING);
-			tables.follow("servers", known, FreshnessLimits.usual(), new Ignoring());
+			tables.follow("servers", known, FreshnessLimits.usual(), new IgnoringListener());
 			Disposable ticking = Flux.interval(Duration.ofMillis(10)).subscribe((_) -> tables.tick(System.nanoTime()));
 			store.put("servers", "s0", "x");
 			GatewayHarness.await(() -> known.version() == 1);
-			assertThat(tables.news(System.nanoTime() + TimeUnit.SECONDS.toNanos(2))).isEmpty();
+			assertThat(tables.updates(System.nanoTime() + TimeUnit.SECONDS.toNanos(2))).isEmpty();
 			store.put("servers", "s1", "x");
 			GatewayHarness.await(() -> known.version() == 2);
 			assertThat(tables.isReading(System.nanoTime())).isFalse();
 			assertThat(tables.isUrgent(System.nanoTime())).isTrue();
-			assertThat(tables.news(System.nanoTime())).extracting(TableNews::getVersion).containsExactly(2L);
+			assertThat(tables.updates(System.nanoTime())).extracting(TableNews::getVersion).containsExactly(2L);
 			ticking.dispose();
 		}
 		store.close();
 	}
 
 	private static TableWatch watch(RowStore store, PeerTables peers) {
-		return TableWatch.of(store, "servers", GatewayHarness.table(), peers, FreshnessLimits.usual(), new Ignoring());
+		return TableWatch.of(store, "servers", GatewayHarness.table(), peers, FreshnessLimits.usual(),
+				new IgnoringListener());
 	}
 
 	private static RowStore.Row row(String key) {
@@ -117,7 +118,7 @@
 	}
 
 	/** Ignores all rows. */
-	private static final class Ignoring implements TableWatch.Listener {
+	private static final class IgnoringListener implements TableWatch.Listener {
 
 		@Override
 		public void all(List<RowStore.Row> rows, long version) {
