--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayProcess.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayProcess.java
@@ -300,13 +300,14 @@
 	// -- changes from the platform
 
 	private void followTables() {
-		FreshnessLimits soon = FreshnessLimits.within(this.settings.bounds().changeMillis());
-		FreshnessLimits later = FreshnessLimits.usual().times(OWN_TABLES_LIMIT_FACTOR);
-		this.tables.follow(this.platform.records().configuration().table(), this.configurationTable, soon,
+		FreshnessLimits changeLimits = FreshnessLimits.within(this.settings.bounds().changeMillis());
+		FreshnessLimits ownTableLimits = FreshnessLimits.usual().times(OWN_TABLES_LIMIT_FACTOR);
+		this.tables.follow(this.platform.records().configuration().table(), this.configurationTable, changeLimits,
 				this.platformUpdates.configuration());
-		this.tables.follow(this.platform.records().servers(), this.serversTable, soon, this.platformUpdates.servers());
-		this.tables.follow(GatewayDirectory.TABLE, this.gatewaysTable, later, this.directory);
-		this.tables.follow(CrashRows.TABLE, this.crashesTable, later, this.crashes.listener());
+		this.tables.follow(this.platform.records().servers(), this.serversTable, changeLimits,
+				this.platformUpdates.servers());
+		this.tables.follow(GatewayDirectory.TABLE, this.gatewaysTable, ownTableLimits, this.directory);
+		this.tables.follow(CrashRows.TABLE, this.crashesTable, ownTableLimits, this.crashes.listener());
 		this.directory.announce();
 		// The time that construction took must not count as a pause of the process.
 		this.pauseWatch.look(System.nanoTime(), System.currentTimeMillis());
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PeerExchange.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PeerExchange.java
@@ -78,7 +78,7 @@
 	static PeerExchange open(EventLoop loop, InetSocketAddress address, String self, int start,
 			Consumer<ReceivedReport> receiver) {
 		UdpSocket socket = UdpSocket.openPaced(loop, address, READ_INTERVAL,
-				(from, bytes) -> received(from, bytes, receiver));
+				(from, bytes) -> receive(from, bytes, receiver));
 		return new PeerExchange(self, start, socket);
 	}
 
@@ -174,7 +174,7 @@
 
 	// -- receiving
 
-	private static void received(InetSocketAddress from, byte[] bytes, Consumer<ReceivedReport> receiver) {
+	private static void receive(InetSocketAddress from, byte[] bytes, Consumer<ReceivedReport> receiver) {
 		try {
 			receiver.accept(new ReceivedReport(from, GatewayReport.parseFrom(bytes)));
 		}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SizeDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SizeDuty.java
@@ -56,7 +56,7 @@
 
 	private final Consumer<Runnable> control;
 
-	private final Runnable fenced;
+	private final Runnable onFenced;
 
 	private final Map<String, SizePlan> planners = new HashMap<>();
 
@@ -89,10 +89,10 @@
 
 	SizeDuty(BackendTable servers, ToDoubleFunction<String> tokensPerMilli,
 			Predicate<BackendServer> countsTowardsCapacity, Duties duties, List<String> zones,
-			Consumer<Runnable> control, Runnable fenced) {
+			Consumer<Runnable> control, Runnable onFenced) {
 		this.tokensPerMilli = tokensPerMilli;
 		this.countsTowardsCapacity = countsTowardsCapacity;
-		this.fenced = fenced;
+		this.onFenced = onFenced;
 		this.servers = servers;
 		this.duties = duties;
 		this.zones = zones;
@@ -221,7 +221,7 @@
 		EventLog.info(GatewayEvents.SIZE_NOT_ORDERED, "service", size.service(), "zone", size.zone(), "servers",
 				size.servers(), "reclaimable", size.reclaimable(), "cause", failure.getMessage());
 		if (failure instanceof StoreException ex && ex.reason() == StoreException.Reason.FENCED) {
-			this.fenced.run();
+			this.onFenced.run();
 		}
 		boolean noneAvailable = failure instanceof StoreException ex
 				&& ex.reason() == StoreException.Reason.NONE_AVAILABLE;
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/UsageDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/UsageDuty.java
@@ -85,7 +85,7 @@
 
 	private final Consumer<Runnable> control;
 
-	private final Runnable fenced;
+	private final Runnable onFenced;
 
 	/** Rows of this gateway that are not confirmed as written, by key. */
 	private final Map<String, UnwrittenRow> unwritten = new TreeMap<>();
@@ -104,8 +104,8 @@
 
 	private long notBeforeMillis;
 
-	UsageDuty(RowStore store, Duties duties, GatewaySettings settings, Consumer<Runnable> control, Runnable fenced) {
-		this.fenced = fenced;
+	UsageDuty(RowStore store, Duties duties, GatewaySettings settings, Consumer<Runnable> control, Runnable onFenced) {
+		this.onFenced = onFenced;
 		this.store = store;
 		this.duties = duties;
 		this.self = settings.name();
@@ -312,7 +312,7 @@
 			return;
 		}
 		if (failure instanceof StoreException ex && ex.reason() == StoreException.Reason.FENCED) {
-			this.fenced.run();
+			this.onFenced.run();
 		}
 		EventLog.info(GatewayEvents.USAGE_NOT_REPORTED, "window", window, "cause", failure.getMessage());
 		finishAttempt(RETRY_DELAY_MILLIS);
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultInjectingStore.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultInjectingStore.java
@@ -65,28 +65,28 @@
 
 	@Override
 	public Mono<Outcome> commit(Commit commit) {
-		return Mono.defer(() -> this.rejectingWrites ? Mono.error(failure()) : guarded(this.store.commit(commit)));
+		return Mono.defer(() -> this.rejectingWrites ? Mono.error(failure()) : withFaults(this.store.commit(commit)));
 	}
 
 	@Override
 	public Mono<Page> read(Range range) {
-		return guarded(this.store.read(range));
+		return withFaults(this.store.read(range));
 	}
 
 	@Override
 	public Mono<Page> changes(String table, long since, Duration wait) {
-		return guarded(this.store.changes(table, since, wait));
+		return withFaults(this.store.changes(table, since, wait));
 	}
 
-	private <T> Mono<T> guarded(Mono<T> call) {
+	private <T> Mono<T> withFaults(Mono<T> call) {
 		return Mono.defer(() -> this.rejecting ? Mono.error(failure())
 				: Mono.firstWithSignal(unlessDropped(call, this.outstandingDropped),
 						this.rejection.asMono().then(Mono.never()),
 						this.outstandingFailure.asMono().then(Mono.never())));
 	}
 
-	private static <T> Mono<T> unlessDropped(Mono<T> call, AtomicBoolean never) {
-		return call.flatMap((answer) -> never.get() ? Mono.never() : Mono.just(answer));
+	private static <T> Mono<T> unlessDropped(Mono<T> call, AtomicBoolean dropped) {
+		return call.flatMap((answer) -> dropped.get() ? Mono.never() : Mono.just(answer));
 	}
 
 	private static StoreException failure() {
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayProcessTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayProcessTests.java
@@ -315,11 +315,11 @@
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			holder.declare().register("s1", server).ready();
 			GatewayHarness.await(() -> !holder.duties.usages().isEmpty());
-			try (GatewayHarness denied = GatewayHarness.startSecond(holder).ready()) {
-				GatewayHarness.await(() -> holder.liveGateways() == 2 && denied.liveGateways() == 2);
-				denied.access.deny();
+			try (GatewayHarness rejected = GatewayHarness.startSecond(holder).ready()) {
+				GatewayHarness.await(() -> holder.liveGateways() == 2 && rejected.liveGateways() == 2);
+				rejected.access.deny();
 				for (int i = 0; i < 20; i++) {
-					status(denied, "key-1");
+					status(rejected, "key-1");
 				}
 				long ran = server.requests().size();
 				GatewayHarness.await(() -> reportedCalls(holder) == ran);
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/QuotaSharingTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/QuotaSharingTests.java
@@ -52,7 +52,7 @@
 		long until = System.nanoTime() + BURST_MILLIS * 1_000_000L;
 		try (ExecutorService callers = Executors.newVirtualThreadPerTaskExecutor()) {
 			List<Future<?>> all = fleet.stream()
-				.<Future<?>>map((gateway) -> callers.submit(() -> call(gateway, until)))
+				.<Future<?>>map((gateway) -> callers.submit(() -> sendCalls(gateway, until)))
 				.toList();
 			for (Future<?> caller : all) {
 				caller.get();
@@ -60,7 +60,7 @@
 		}
 	}
 
-	private static Void call(GatewayHarness gateway, long untilNanos) throws IOException, InterruptedException {
+	private static Void sendCalls(GatewayHarness gateway, long untilNanos) throws IOException, InterruptedException {
 		while (System.nanoTime() - untilNanos < 0) {
 			gateway.ask(RawCaller.get("c1", "/sheets/"));
 			Thread.sleep(2);
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SizeDutyTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SizeDutyTests.java
@@ -21,7 +21,7 @@
 
 class SizeDutyTests {
 
-	private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
+	private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	private static final TrafficConfiguration CONFIGURATION = TrafficConfiguration.of(1, List.of(),
 			List.of(new ServiceSpec("llm", 100, Optional.of(new EngineSpec(64, 500_000, 0, 0)),
@@ -89,7 +89,7 @@
 			register(id + "b", "b", true);
 		}
 		for (int second = 0; second < 40; second++) {
-			this.duty.updatePlans(CONFIGURATION, 150_000.0 * second, second * SECOND);
+			this.duty.updatePlans(CONFIGURATION, 150_000.0 * second, second * SECOND_NANOS);
 		}
 		act(40);
 		assertThat(this.duties.sizes()).noneMatch((size) -> size.reclaimable() && size.servers() < 3);
@@ -107,10 +107,10 @@
 		act(4);
 		int before = this.duties.sizes().size();
 		for (String id : List.of("r1b", "r2b")) {
-			this.servers.lapsed(id, 4 * SECOND, OptionalLong.empty());
+			this.servers.lapsed(id, 4 * SECOND_NANOS, OptionalLong.empty());
 		}
-		this.servers.expire(4 * SECOND);
-		this.duty.act(1, CONFIGURATION, 4 * SECOND + SECOND / 10);
+		this.servers.expire(4 * SECOND_NANOS);
+		this.duty.act(1, CONFIGURATION, 4 * SECOND_NANOS + SECOND_NANOS / 10);
 		assertThat(this.duties.sizes().subList(before, this.duties.sizes().size()))
 			.contains(new Size("llm", "b", 2, true));
 	}
@@ -136,8 +136,8 @@
 	}
 
 	private void act(int second) {
-		this.duty.updatePlans(CONFIGURATION, 0, second * SECOND);
-		this.duty.act(1, CONFIGURATION, second * SECOND);
+		this.duty.updatePlans(CONFIGURATION, 0, second * SECOND_NANOS);
+		this.duty.act(1, CONFIGURATION, second * SECOND_NANOS);
 	}
 
 }
