--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/FollowedTable.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/FollowedTable.java
@@ -45,8 +45,7 @@
 	 * Replaces the copy with a full read of the table.
 	 * @param all all rows of the table
 	 * @param tableVersion the version of the store at the time of the read
-	 * @return whether the copy was replaced, which a table older than the copy does not
-	 * do
+	 * @return whether the copy was replaced; false if the table is older than the copy
 	 */
 	synchronized boolean replace(List<Row> all, long tableVersion) {
 		if (tableVersion < this.version) {
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SharedTables.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SharedTables.java
@@ -164,8 +164,8 @@
 	// -- receiving
 
 	/**
-	 * Processes the updates in a report of another gateway.
-	 * @param update the updates
+	 * Processes the table updates in a report of another gateway.
+	 * @param update the updates in the report
 	 * @param tablesAddress the address at which that gateway serves its tables
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayProcessTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayProcessTests.java
@@ -460,8 +460,8 @@
 		}
 	}
 
-	// A stopping process whose calls have ended writes its last counts and exits as soon
-	// as they are written, which would cut off a call accepted in the meantime.
+	// A stopping process whose calls have ended writes its last counts and then exits
+	// immediately. A call accepted in the meantime would be cut off.
 	@Test
 	void shouldRefuseCallsWhenOnlyCountsRemainToBeWritten() throws Exception {
 		GatewayHarness gateway = GatewayHarness.startWithStopTime(30_000);
