--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/FollowedTable.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/FollowedTable.java
@@ -15,90 +15,90 @@
 import org.rosemaryfront.ports.RowStore.Row;
 import org.rosemaryfront.tables.Freshness;
 
-/** The rows of a table as this gateway knows them; may be used on any thread. */
+/** The local copy of a table's rows. Thread-safe. */
 final class FollowedTable {
 
-	/** Changes of late that are kept. */
-	private static final int RECENT = 64;
+	/** The number of recent changes that are retained. */
+	private static final int MAX_RECENT_CHANGES = 64;
 
 	private final TreeMap<String, Row> rows = new TreeMap<>();
 
-	/** The last changes in order. */
-	private final Deque<Row> recent = new ArrayDeque<>();
+	/** The most recent changes, oldest first. */
+	private final Deque<Row> recentChanges = new ArrayDeque<>();
 
-	/** The version behind which all changes are kept. */
-	private long recentSince;
+	/** The version after which every change is retained. */
+	private long retainedSince;
 
 	private long version;
 
 	private final Freshness freshness;
 
 	/**
-	 * A table that is not known yet.
-	 * @param freshness takes how old the knowledge of it is
+	 * Creates an empty copy, at version 0.
+	 * @param freshness records how old the copy is
 	 */
 	FollowedTable(Freshness freshness) {
 		this.freshness = freshness;
 	}
 
 	/**
-	 * Takes the whole table.
-	 * @param all its rows
-	 * @param tableVersion the version of the store at that moment
-	 * @return whether it was taken; an older table than the one known is not
+	 * Replaces the copy with a full read of the table.
+	 * @param all all rows of the table
+	 * @param tableVersion the version of the store at the time of the read
+	 * @return whether the copy was replaced; false if the table is older than the copy
 	 */
-	synchronized boolean all(List<Row> all, long tableVersion) {
+	synchronized boolean replace(List<Row> all, long tableVersion) {
 		if (tableVersion < this.version) {
 			return false;
 		}
-		TreeMap<String, Row> before = new TreeMap<>(this.rows);
+		TreeMap<String, Row> previousRows = new TreeMap<>(this.rows);
 		this.rows.clear();
 		all.forEach((row) -> this.rows.put(row.key(), row));
-		noteChanges(before, tableVersion);
+		retainChanges(previousRows, tableVersion);
 		this.version = tableVersion;
 		return true;
 	}
 
-	// Others are told of what the reading found, where that is known in order: a row
-	// whose
-	// change should have been known before is none of these.
-	private void noteChanges(TreeMap<String, Row> before, long tableVersion) {
-		boolean missed = this.rows.values()
+	// The changes found by a full read are retained for other gateways, in order. If a
+	// row changed at or before the version of this copy, a change was missed; none are
+	// retained then, since receivers would ignore that row as older than their own copy.
+	private void retainChanges(TreeMap<String, Row> previousRows, long tableVersion) {
+		boolean missedChange = this.rows.values()
 			.stream()
-			.anyMatch((row) -> row.version() <= this.version && isNews(row, before));
-		if (this.version == 0 || missed) {
-			this.recent.clear();
-			this.recentSince = tableVersion;
+			.anyMatch((row) -> row.version() <= this.version && isChanged(row, previousRows));
+		if (this.version == 0 || missedChange) {
+			this.recentChanges.clear();
+			this.retainedSince = tableVersion;
 			return;
 		}
 		this.rows.values()
 			.stream()
 			.filter((row) -> row.version() > this.version)
 			.sorted(Comparator.comparingLong(Row::version))
-			.forEach(this::remember);
-		before.keySet()
+			.forEach(this::retain);
+		previousRows.keySet()
 			.stream()
 			.filter((key) -> !this.rows.containsKey(key))
-			.forEach((key) -> remember(new Row(key, Optional.empty(), tableVersion)));
+			.forEach((key) -> retain(new Row(key, Optional.empty(), tableVersion)));
 	}
 
-	private static boolean isNews(Row row, TreeMap<String, Row> before) {
-		return !before.containsKey(row.key()) || before.get(row.key()).version() != row.version();
+	private static boolean isChanged(Row row, TreeMap<String, Row> previousRows) {
+		return !previousRows.containsKey(row.key()) || previousRows.get(row.key()).version() != row.version();
 	}
 
 	/**
-	 * Takes changes. Those known before are passed over: they come from the store and
-	 * from other gateways, and an older row must not take the place of a newer.
-	 * @param changed the changed rows in order
-	 * @param tableVersion the version of the store up to which changes are known
-	 * @return the rows that are news
+	 * Applies changes. They come from the store and from other gateways, so changes up to
+	 * the version of this copy are ignored: an older row must not replace a newer one.
+	 * @param changed the changed rows, in order
+	 * @param tableVersion the version of the store up to which the changes are complete
+	 * @return the rows that were applied
 	 */
-	synchronized List<Row> changed(List<Row> changed, long tableVersion) {
-		long known = this.version;
-		List<Row> news = changed.stream().filter((row) -> row.version() > known).toList();
-		news.forEach(this::put);
+	synchronized List<Row> apply(List<Row> changed, long tableVersion) {
+		long knownVersion = this.version;
+		List<Row> applied = changed.stream().filter((row) -> row.version() > knownVersion).toList();
+		applied.forEach(this::put);
 		this.version = Math.max(this.version, tableVersion);
-		return news;
+		return applied;
 	}
 
 	private void put(Row row) {
@@ -108,26 +108,26 @@
 		else {
 			this.rows.remove(row.key());
 		}
-		remember(row);
+		retain(row);
 	}
 
-	private void remember(Row row) {
-		this.recent.addLast(row);
-		if (this.recent.size() > RECENT) {
-			this.recentSince = this.recent.removeFirst().version();
+	private void retain(Row row) {
+		this.recentChanges.addLast(row);
+		if (this.recentChanges.size() > MAX_RECENT_CHANGES) {
+			this.retainedSince = this.recentChanges.removeFirst().version();
 		}
 	}
 
 	/**
-	 * The changes of late.
-	 * @param since a version
-	 * @return the rows that changed behind it, empty when not all of them are kept
+	 * Returns the recent changes after a version.
+	 * @param since the version
+	 * @return the rows that changed after it, or empty if not all of them are retained
 	 */
 	synchronized Optional<List<Row>> changesSince(long since) {
-		if (since < this.recentSince) {
+		if (since < this.retainedSince) {
 			return Optional.empty();
 		}
-		return Optional.of(this.recent.stream().filter((row) -> row.version() > since).toList());
+		return Optional.of(this.recentChanges.stream().filter((row) -> row.version() > since).toList());
 	}
 
 	synchronized long version() {
@@ -139,27 +139,27 @@
 	}
 
 	/**
-	 * What another gateway gets that knows less.
-	 * @param known the version up to which it knows the table
-	 * @return the whole table, empty when it is no newer
+	 * Returns the table for a gateway whose copy may be older.
+	 * @param knownVersion the version of that gateway's copy
+	 * @return the whole table, or empty if this copy is not newer
 	 */
-	synchronized Optional<TableRows> newerThan(long known) {
-		if (this.version <= known) {
+	synchronized Optional<TableRows> newerThan(long knownVersion) {
+		if (this.version <= knownVersion) {
 			return Optional.empty();
 		}
 		TableRows.Builder message = TableRows.newBuilder().setVersion(this.version);
 		for (Row row : this.rows.values()) {
-			message.addRows(message(row));
+			message.addRows(encode(row));
 		}
 		return Optional.of(message.build());
 	}
 
 	/**
-	 * Writes a row for another gateway.
+	 * Encodes a row for another gateway.
 	 * @param row the row
 	 * @return the message
 	 */
-	static TableRow message(Row row) {
+	static TableRow encode(Row row) {
 		TableRow.Builder message = TableRow.newBuilder().setKey(row.key()).setVersion(row.version());
 		row.value()
 			.ifPresentOrElse((value) -> message.setValue(ByteString.copyFrom(value)), () -> message.setRemoved(true));
@@ -167,11 +167,11 @@
 	}
 
 	/**
-	 * Reads what another gateway sent.
-	 * @param messages rows
+	 * Decodes rows sent by another gateway.
+	 * @param messages the encoded rows
 	 * @return the rows
 	 */
-	static List<Row> rows(List<TableRow> messages) {
+	static List<Row> decode(List<TableRow> messages) {
 		List<Row> rows = new ArrayList<>();
 		for (TableRow row : messages) {
 			Optional<byte[]> value = row.getRemoved() ? Optional.empty() : Optional.of(row.getValue().toByteArray());
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayDirectory.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayDirectory.java
@@ -15,15 +15,16 @@
 import org.rosemaryfront.program.ControlLoop;
 
 /**
- * The table of gateways: tells the others where this one is reached, and finds them.
- * Until it was read once nobody knows who shares quotas and connections: a process that
- * takes itself for the only gateway gives out the whole, and so does each of the others.
+ * Announces the address of this gateway in the table of gateways, and reads those of the
+ * others from it. Until the table has been read once, the gateways that share quotas and
+ * connections are unknown: a process that takes itself for the only gateway would grant
+ * the whole quota, and so would each of the others.
  */
 final class GatewayDirectory implements TableWatch.Listener {
 
 	static final String TABLE = "gateways";
 
-	private static final Duration ANNOUNCE_AGAIN = Duration.ofSeconds(1);
+	private static final Duration ANNOUNCE_RETRY_DELAY = Duration.ofSeconds(1);
 
 	private final RowStore rows;
 
@@ -35,70 +36,71 @@
 
 	private final ControlLoop control;
 
-	private final LongConsumer read;
+	private final LongConsumer onLoaded;
 
-	private volatile boolean known;
+	private volatile boolean loaded;
 
 	/**
-	 * A directory that knows nobody yet.
+	 * Creates a directory that contains no other gateway yet.
 	 * @param rows the store
-	 * @param settings those of this gateway
-	 * @param peers told where others are reached
-	 * @param fleet told who may serve
-	 * @param control the thread of the two
-	 * @param read called there with the time once the whole table was read
+	 * @param settings the settings of this gateway
+	 * @param peers receives the addresses of other gateways
+	 * @param fleet receives the names of gateways that may be serving
+	 * @param control the thread that {@code peers} and {@code fleet} are used on
+	 * @param onLoaded called on that thread with the current time, in nanoseconds, each
+	 * time the whole table has been read
 	 */
 	GatewayDirectory(RowStore rows, GatewaySettings settings, PeerExchange peers, Fleet fleet, ControlLoop control,
-			LongConsumer read) {
+			LongConsumer onLoaded) {
 		this.rows = rows;
 		this.settings = settings;
 		this.peers = peers;
 		this.fleet = fleet;
 		this.control = control;
-		this.read = read;
+		this.onLoaded = onLoaded;
 	}
 
-	/** Writes where this gateway is reached, until the store has taken it. */
+	/** Writes the address of this gateway, retrying until the store has accepted it. */
 	void announce() {
 		String address = Addresses.format(this.settings.peers());
 		Commit row = Commit.put(TABLE, this.settings.name(), address.getBytes(StandardCharsets.UTF_8));
 		this.rows.commit(row).subscribe((_) -> {
 		}, (failure) -> {
 			RowLog.failed(this.settings.name(), "write", failure);
-			Mono.delay(ANNOUNCE_AGAIN).subscribe((_) -> announce());
+			Mono.delay(ANNOUNCE_RETRY_DELAY).subscribe((_) -> announce());
 		});
 	}
 
 	/**
-	 * Whether it is known which gateways there are.
-	 * @return true once the table was read
+	 * Returns whether the gateways are known.
+	 * @return true once the table has been read
 	 */
-	boolean isKnown() {
-		return this.known;
+	boolean isLoaded() {
+		return this.loaded;
 	}
 
 	@Override
 	public void all(List<Row> all, long version) {
 		this.control.post((now) -> {
-			all.forEach((row) -> found(row, now));
+			all.forEach((row) -> addGateway(row, now));
 			this.fleet.complete();
-			this.known = true;
-			this.read.accept(now);
+			this.loaded = true;
+			this.onLoaded.accept(now);
 		});
 	}
 
 	@Override
 	public void changed(List<Row> changes, long version) {
-		this.control.post((now) -> changes.forEach((row) -> found(row, now)));
+		this.control.post((now) -> changes.forEach((row) -> addGateway(row, now)));
 	}
 
-	private void found(Row row, long now) {
+	private void addGateway(Row row, long now) {
 		if (row.value().isEmpty() || row.key().equals(this.settings.name())) {
 			return;
 		}
 		String address = new String(row.value().get(), StandardCharsets.UTF_8);
 		try {
-			this.peers.found(row.key(), Addresses.parse(address));
+			this.peers.addPeer(row.key(), Addresses.parse(address));
 			this.fleet.found(row.key(), now);
 		}
 		catch (IllegalArgumentException ex) {
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PeerExchange.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PeerExchange.java
@@ -25,21 +25,27 @@
 import org.rosemaryfront.peer.UdpSocket.Datagram;
 
 /**
- * Carries reports between this gateway and the others. Used on the control thread, but
- * for the socket.
+ * Exchanges reports with the other gateways. Used on the control thread, except that
+ * reports are received on the socket's event loop.
  */
 final class PeerExchange implements AutoCloseable {
 
-	/** The time between two readings of what the others told; no longer than a tick. */
-	private static final Duration READ_PAUSE = Duration.ofMillis(50);
+	/** The interval between reads of received reports; no longer than a tick. */
+	private static final Duration READ_INTERVAL = Duration.ofMillis(50);
 
-	/** Gateways that were heard and do not live get one report of so many. */
-	private static final int REPORTS_PER_KNOCK = 4;
+	/**
+	 * Gateways that have reported before but are not live are sent one of this many
+	 * reports.
+	 */
+	private static final int UNRESPONSIVE_REPORT_INTERVAL = 4;
 
-	/** Its multiples are spread evenly between whole numbers, however many there are. */
-	private static final double GOLDEN_SECTION = 0.618_033_988_749_895;
+	/**
+	 * The fractional parts of its multiples are spread evenly over the unit interval, for
+	 * any number of multiples.
+	 */
+	private static final double GOLDEN_RATIO_CONJUGATE = 0.618_033_988_749_895;
 
-	private static final byte[] NOTHING = {};
+	private static final byte[] EMPTY = {};
 
 	private final String self;
 
@@ -51,8 +57,8 @@
 
 	private int number;
 
-	/** The last report without what it confirms; empty before the first. */
-	private byte[] last = NOTHING;
+	/** The last report without its confirmation; empty before the first report. */
+	private byte[] lastReport = EMPTY;
 
 	private PeerExchange(String self, int start, UdpSocket socket) {
 		this.self = self;
@@ -62,90 +68,94 @@
 
 	/**
 	 * Opens the socket.
-	 * @param loop the thread of the socket
-	 * @param address where reports arrive
+	 * @param loop the event loop of the socket
+	 * @param address the address that receives reports
 	 * @param self the name of this gateway
-	 * @param start tells starts of this gateway apart
-	 * @param receiver takes each report, on the socket's thread
+	 * @param start identifies this start of the gateway
+	 * @param receiver receives each report, on the event loop
 	 * @return the exchange
 	 */
 	static PeerExchange open(EventLoop loop, InetSocketAddress address, String self, int start,
-			Consumer<Heard> receiver) {
-		UdpSocket socket = UdpSocket.openPaced(loop, address, READ_PAUSE,
-				(from, bytes) -> received(from, bytes, receiver));
+			Consumer<ReceivedReport> receiver) {
+		UdpSocket socket = UdpSocket.openPaced(loop, address, READ_INTERVAL,
+				(from, bytes) -> receive(from, bytes, receiver));
 		return new PeerExchange(self, start, socket);
 	}
 
 	// -- sending
 
 	/**
-	 * Notes a gateway that the table service names.
-	 * @param gateway its name
-	 * @param address where its reports arrive
+	 * Adds a gateway listed in the table service, or updates its address.
+	 * @param gateway the name of the gateway
+	 * @param address the address that receives its reports
 	 */
-	void found(String gateway, InetSocketAddress address) {
+	void addPeer(String gateway, InetSocketAddress address) {
 		if (!gateway.equals(this.self)) {
 			this.peers.computeIfAbsent(gateway, (_) -> new Peer()).address = address;
 		}
 	}
 
 	/**
-	 * The number of the report that goes out next.
-	 * @return from 1 up
+	 * Returns the number of the next report.
+	 * @return the number, starting at 1
 	 */
 	int nextNumber() {
 		return this.number + 1;
 	}
 
 	/**
-	 * Tells all gateways.
-	 * @param report what to tell, without the sender
-	 * @param living whether a gateway lives
-	 * @param confirmation what the report to a gateway confirms
+	 * Sends a report to the other gateways.
+	 * @param report the report, without its sender
+	 * @param isLive tests whether a gateway is live
+	 * @param confirmation returns the confirmation to include in the report to a gateway
 	 */
-	void tell(GatewayReport.Builder report, Predicate<String> living,
+	void broadcast(GatewayReport.Builder report, Predicate<String> isLive,
 			Function<String, Optional<Confirmation>> confirmation) {
 		this.number++;
-		this.last = report.setGateway(this.self).setStart(this.start).setNumber(this.number).build().toByteArray();
-		boolean knocks = this.number % REPORTS_PER_KNOCK == 1;
+		this.lastReport = report.setGateway(this.self)
+			.setStart(this.start)
+			.setNumber(this.number)
+			.build()
+			.toByteArray();
+		boolean includesUnresponsive = this.number % UNRESPONSIVE_REPORT_INTERVAL == 1;
 		List<Datagram> datagrams = new ArrayList<>();
 		this.peers.forEach((gateway, peer) -> {
-			if (knocks || !peer.heard || living.test(gateway)) {
+			if (includesUnresponsive || !peer.hasReported || isLive.test(gateway)) {
 				datagrams.add(datagram(peer, confirmation.apply(gateway)));
 			}
 		});
-		Collections.rotate(datagrams, first(this.number, datagrams.size()));
+		Collections.rotate(datagrams, firstIndex(this.number, datagrams.size()));
 		this.socket.send(datagrams);
 	}
 
-	// A slow link loses the end of what is sent at once: it is another end each time, far
-	// from those of the times before.
-	private static int first(int number, int count) {
-		double part = number * GOLDEN_SECTION;
-		return (int) ((part - Math.floor(part)) * count);
+	// A slow link drops the end of a burst. Each report therefore starts at another
+	// gateway, so that the dropped end is far from those of the previous reports.
+	private static int firstIndex(int number, int count) {
+		double product = number * GOLDEN_RATIO_CONJUGATE;
+		return (int) ((product - Math.floor(product)) * count);
 	}
 
 	/**
-	 * Sends the last report once more to a gateway that waits for its confirmation.
-	 * @param gateway the gateway, heard before
-	 * @param confirmation what the report confirms
-	 * @return false when there was no report yet
+	 * Sends the last report again to a gateway that waits for its confirmation.
+	 * @param gateway the name of a gateway that a report was received from
+	 * @param confirmation the confirmation to include
+	 * @return false if no report has been sent yet
 	 */
-	boolean repeat(String gateway, Optional<Confirmation> confirmation) {
-		if (this.last.length == 0) {
+	boolean resend(String gateway, Optional<Confirmation> confirmation) {
+		if (this.lastReport.length == 0) {
 			return false;
 		}
 		this.socket.send(List.of(datagram(this.peers.get(gateway), confirmation)));
 		return true;
 	}
 
-	// Two messages one behind the other are read as one: what is the same for all is
-	// encoded once, and no report carries what it confirms to the others.
+	// Concatenated Protobuf messages decode as one merged message: the common part is
+	// encoded once, and each report carries only the confirmation for its receiver.
 	private Datagram datagram(Peer peer, Optional<Confirmation> confirmation) {
-		return new Datagram(peer.address, this.last, confirmation.map(PeerExchange::encoded).orElse(NOTHING));
+		return new Datagram(peer.address, this.lastReport, confirmation.map(PeerExchange::encode).orElse(EMPTY));
 	}
 
-	private static byte[] encoded(Confirmation confirmation) {
+	private static byte[] encode(Confirmation confirmation) {
 		try {
 			int size = CodedOutputStream.computeFixed32Size(GatewayReport.HEARD_START_FIELD_NUMBER,
 					confirmation.start())
@@ -162,11 +172,11 @@
 		}
 	}
 
-	// -- hearing
+	// -- receiving
 
-	private static void received(InetSocketAddress from, byte[] bytes, Consumer<Heard> receiver) {
+	private static void receive(InetSocketAddress from, byte[] bytes, Consumer<ReceivedReport> receiver) {
 		try {
-			receiver.accept(new Heard(from, GatewayReport.parseFrom(bytes)));
+			receiver.accept(new ReceivedReport(from, GatewayReport.parseFrom(bytes)));
 		}
 		catch (InvalidProtocolBufferException ex) {
 			EventLog.warn(GatewayEvents.DATAGRAM_UNREADABLE, "from", from, "cause", ex.getMessage());
@@ -174,25 +184,25 @@
 	}
 
 	/**
-	 * Notes where a report came from.
-	 * @param heard the report
+	 * Updates the addresses of a report's sender.
+	 * @param received the report
 	 */
-	void heard(Heard heard) {
-		Peer peer = this.peers.computeIfAbsent(heard.report().getGateway(), (_) -> new Peer());
-		peer.heard = true;
-		peer.address = heard.from();
-		peer.adminPort = heard.report().getAdminPort();
+	void updateSender(ReceivedReport received) {
+		Peer peer = this.peers.computeIfAbsent(received.report().getGateway(), (_) -> new Peer());
+		peer.hasReported = true;
+		peer.address = received.from();
+		peer.adminPort = received.report().getAdminPort();
 	}
 
 	/**
-	 * Where gateways serve the tables that they follow.
-	 * @param living whether a gateway lives
-	 * @return the addresses of those that live
+	 * Returns the addresses at which live gateways serve their tables.
+	 * @param isLive tests whether a gateway is live
+	 * @return the addresses
 	 */
-	List<InetSocketAddress> tableAddresses(Predicate<String> living) {
+	List<InetSocketAddress> tableAddresses(Predicate<String> isLive) {
 		List<InetSocketAddress> addresses = new ArrayList<>();
 		this.peers.forEach((gateway, peer) -> {
-			if (peer.adminPort > 0 && living.test(gateway)) {
+			if (peer.adminPort > 0 && isLive.test(gateway)) {
 				addresses.add(new InetSocketAddress(peer.address.getAddress(), peer.adminPort));
 			}
 		});
@@ -205,23 +215,23 @@
 	}
 
 	/**
-	 * A report with its sender's address.
+	 * A report and the address of its sender.
 	 *
 	 * @param from the address
 	 * @param report the report
 	 */
-	record Heard(InetSocketAddress from, GatewayReport report) {
+	record ReceivedReport(InetSocketAddress from, GatewayReport report) {
 	}
 
-	/** Where another gateway is reached. */
+	/** The addresses of another gateway. */
 	private static final class Peer {
 
 		private InetSocketAddress address;
 
-		/** Whether a report of it ever came. */
-		private boolean heard;
+		/** Whether a report of this gateway was ever received. */
+		private boolean hasReported;
 
-		/** Where it serves its tables; 0 before it was heard. */
+		/** The port that serves its tables; 0 before its first report was received. */
 		private int adminPort;
 
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SharedTables.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SharedTables.java
@@ -19,17 +19,21 @@
 import org.rosemaryfront.tables.Role;
 
 /**
- * The tables of the store that gateways follow. A few gateways read them and tell the
- * others what changes; with each reading for itself, the calls to the store grow with the
- * gateways, and at a start of all with their square. Used on the control thread.
+ * The tables of the store that gateways follow. A few gateways read them and send the
+ * changes to the others: if every gateway read them, the calls to the store would grow
+ * with the number of gateways, and when all start together with the square of that
+ * number. Used on the control thread.
  */
 final class SharedTables implements AutoCloseable {
 
-	/** Rows told at once, in bytes; a report stays within one packet. */
-	private static final int MOST_BYTES = 700;
+	/**
+	 * The maximum size of the rows in an update, in bytes, which keeps a report within
+	 * one packet.
+	 */
+	private static final int MAX_UPDATE_BYTES = 700;
 
-	/** A change is in so many reports. */
-	private static final int TIMES_TOLD = 3;
+	/** The number of reports that include each change. */
+	private static final int REPORTS_PER_CHANGE = 3;
 
 	private final RowStore store;
 
@@ -37,8 +41,8 @@
 
 	private final Map<String, TableWatch> watches = new HashMap<>();
 
-	/** The versions up to which each table was told in the last reports. */
-	private final Map<String, Deque<Long>> told = new HashMap<>();
+	/** The versions of each table that were sent in the last reports. */
+	private final Map<String, Deque<Long>> sentVersions = new HashMap<>();
 
 	private Role role = Role.STAND_BY;
 
@@ -52,124 +56,127 @@
 
 	/**
 	 * Starts to follow a table.
-	 * @param table the table
-	 * @param known takes the rows, for other gateways
-	 * @param limits how old the knowledge of the table may become
-	 * @param listener told of rows
+	 * @param table the name of the table
+	 * @param replica the local copy, which is also served to other gateways
+	 * @param limits the limits of how old the local copy may become
+	 * @param listener receives the rows
 	 */
-	void follow(String table, FollowedTable known, FreshnessLimits limits, TableWatch.Listener listener) {
-		TableWatch watch = TableWatch.of(this.store, table, known, this.peers, limits, new Noting(listener));
+	void follow(String table, FollowedTable replica, FreshnessLimits limits, TableWatch.Listener listener) {
+		TableWatch watch = TableWatch.of(this.store, table, replica, this.peers, limits, new ChangeRecorder(listener));
 		this.watches.put(table, watch);
 		watch.tick(this.role, System.nanoTime());
 	}
 
 	/**
-	 * Asks what is to be asked now.
-	 * @param nowNanos the time
+	 * Sends the queries that are due.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void tick(long nowNanos) {
 		this.watches.values().forEach((watch) -> watch.tick(this.role, nowNanos));
 	}
 
 	/**
-	 * The process stood still: what it knows is older than it looks.
-	 * @param nowNanos the time at which it went on
+	 * Records a pause of the process, which makes the local copies older than their last
+	 * confirmations say.
+	 * @param nowNanos the time at which the process resumed, on the monotonic clock, in
+	 * nanoseconds
 	 */
 	void paused(long nowNanos) {
 		this.watches.values().forEach((watch) -> watch.paused(nowNanos));
 	}
 
-	// -- telling
+	// -- sending
 
 	/**
-	 * Whether others wait for news.
-	 * @param nowNanos the time
-	 * @return true from a change until it was told
+	 * Returns whether other gateways wait for changes.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return true from a change until it is sent
 	 */
 	boolean isUrgent(long nowNanos) {
-		return this.changed && this.watches.values().stream().anyMatch((watch) -> watch.tells(nowNanos));
+		return this.changed && this.watches.values().stream().anyMatch((watch) -> watch.sendsUpdates(nowNanos));
 	}
 
 	/**
-	 * Whether this gateway reads all tables from the store.
-	 * @param nowNanos the time
-	 * @return false while it counts on others, or the store does not answer
+	 * Returns whether this gateway reads all tables from the store.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return false while it relies on other gateways, or the store does not respond
 	 */
 	boolean isReading(long nowNanos) {
 		return this.watches.values().stream().allMatch((watch) -> watch.isReading(nowNanos));
 	}
 
 	/**
-	 * What is told to the other gateways.
-	 * @param nowNanos the time
-	 * @return what is known of each table that it reads, or in which it found changes
+	 * Returns the updates to include in the next report.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return an update for each table that this gateway reads or recently found changes
+	 * in
 	 */
-	List<TableNews> news(long nowNanos) {
+	List<TableNews> updates(long nowNanos) {
 		this.changed = false;
 		return this.watches.values()
 			.stream()
-			.filter((watch) -> watch.tells(nowNanos))
-			.map((watch) -> news(watch, nowNanos))
+			.filter((watch) -> watch.sendsUpdates(nowNanos))
+			.map((watch) -> update(watch, nowNanos))
 			.toList();
 	}
 
-	// Changes are told several times, since datagrams are lost; whoever misses one reads
-	// it from the store.
-	private TableNews news(TableWatch watch, long nowNanos) {
-		long version = watch.known().version();
-		long since = told(watch.table(), version);
-		TableNews.Builder news = TableNews.newBuilder()
+	// Changes are sent several times because datagrams may be lost. A gateway that misses
+	// all of them reads the table from the store.
+	private TableNews update(TableWatch watch, long nowNanos) {
+		long version = watch.replica().version();
+		long since = recordSentVersion(watch.table(), version);
+		TableNews.Builder update = TableNews.newBuilder()
 			.setTable(watch.table())
 			.setVersion(version)
 			.setSince(since)
-			.setProvenMillis(provenMillis(watch, nowNanos));
-		Optional<List<TableRow>> rows = watch.known()
+			.setProvenMillis(confirmationAgeMillis(watch, nowNanos));
+		Optional<List<TableRow>> rows = watch.replica()
 			.changesSince(since)
-			.map((changes) -> messages(changes, version))
-			.filter(SharedTables::isSmall);
-		rows.ifPresentOrElse(news::addAllRows, () -> news.setOmitted(true));
-		return news.build();
+			.map((changes) -> encode(changes, version))
+			.filter(SharedTables::fitsReport);
+		rows.ifPresentOrElse(update::addAllRows, () -> update.setOmitted(true));
+		return update.build();
 	}
 
-	private static int provenMillis(TableWatch watch, long nowNanos) {
+	private static int confirmationAgeMillis(TableWatch watch, long nowNanos) {
 		OptionalLong age = watch.ownAgeNanos(nowNanos);
 		return age.isPresent() ? (int) Math.clamp(TimeUnit.NANOSECONDS.toMillis(age.getAsLong()), 1, Integer.MAX_VALUE)
 				: 0;
 	}
 
-	private long told(String table, long version) {
-		Deque<Long> versions = this.told.computeIfAbsent(table, (_) -> new ArrayDeque<>());
+	private long recordSentVersion(String table, long version) {
+		Deque<Long> versions = this.sentVersions.computeIfAbsent(table, (_) -> new ArrayDeque<>());
 		versions.addLast(version);
-		if (versions.size() > TIMES_TOLD + 1) {
+		if (versions.size() > REPORTS_PER_CHANGE + 1) {
 			versions.removeFirst();
 		}
 		return versions.getFirst();
 	}
 
-	private static List<TableRow> messages(List<Row> changes, long version) {
-		return changes.stream().filter((row) -> row.version() <= version).map(FollowedTable::message).toList();
+	private static List<TableRow> encode(List<Row> changes, long version) {
+		return changes.stream().filter((row) -> row.version() <= version).map(FollowedTable::encode).toList();
 	}
 
-	private static boolean isSmall(List<TableRow> rows) {
-		return rows.stream().mapToInt(TableRow::getSerializedSize).sum() <= MOST_BYTES;
+	private static boolean fitsReport(List<TableRow> rows) {
+		return rows.stream().mapToInt(TableRow::getSerializedSize).sum() <= MAX_UPDATE_BYTES;
 	}
 
-	// -- hearing
+	// -- receiving
 
 	/**
-	 * Takes what another gateway tells.
-	 * @param news what it tells
-	 * @param tables where it serves its tables
-	 * @param nowNanos the time
+	 * Processes the table updates in a report of another gateway.
+	 * @param update the updates in the report
+	 * @param tablesAddress the address at which that gateway serves its tables
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void heard(List<TableNews> news, InetSocketAddress tables, long nowNanos) {
-		news.forEach((one) -> Optional.ofNullable(this.watches.get(one.getTable()))
-			.ifPresent((watch) -> watch.told(one, tables, nowNanos)));
+	void receive(List<TableNews> update, InetSocketAddress tablesAddress, long nowNanos) {
+		update.forEach((one) -> Optional.ofNullable(this.watches.get(one.getTable()))
+			.ifPresent((watch) -> watch.receive(one, tablesAddress, nowNanos)));
 	}
 
 	/**
-	 * Sets what this gateway does for the others.
-	 * @param now its role
+	 * Sets the role of this gateway in reading the tables.
+	 * @param now the new role
 	 */
 	void role(Role now) {
 		if (now != this.role) {
@@ -178,10 +185,6 @@
 		}
 	}
 
-	/**
-	 * What this gateway does for the others.
-	 * @return its role
-	 */
 	Role role() {
 		return this.role;
 	}
@@ -191,12 +194,12 @@
 		this.watches.values().forEach(TableWatch::close);
 	}
 
-	/** Notes that there are changes to be told. */
-	private final class Noting implements TableWatch.Listener {
+	/** Records that there are changes to send. */
+	private final class ChangeRecorder implements TableWatch.Listener {
 
 		private final TableWatch.Listener listener;
 
-		private Noting(TableWatch.Listener listener) {
+		private ChangeRecorder(TableWatch.Listener listener) {
 			this.listener = listener;
 		}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/TableWatch.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/TableWatch.java
@@ -31,13 +31,16 @@
 import org.rosemaryfront.tables.TableFollower.Answer;
 
 /**
- * Follows one table: asks the store and other gateways what {@link TableFollower} wants
- * to know, and takes the rows.
+ * Follows one table: sends the queries that {@link TableFollower} requests to the store
+ * and to other gateways, and applies the rows they return.
  */
 final class TableWatch implements AutoCloseable {
 
-	/** For how long a change is told that this gateway found, in nanoseconds. */
-	private static final long FIRST_HAND_NANOS = TimeUnit.SECONDS.toNanos(1);
+	/**
+	 * For how long a change that this gateway found itself is sent to others, in
+	 * nanoseconds.
+	 */
+	private static final long OWN_CHANGE_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	private final RowStore store;
 
@@ -45,284 +48,294 @@
 
 	private final Listener listener;
 
-	private final FollowedTable known;
+	private final FollowedTable replica;
 
 	private final PeerTables peers;
 
 	private final TableFollower follower;
 
-	/** What is under way at the store. */
-	private final Map<Asked, Disposable> underWay = new HashMap<>();
+	/** The outstanding requests to the store. */
+	private final Map<Asked, Disposable> outstanding = new HashMap<>();
 
 	private boolean closed;
 
-	/** Where a gateway serves its tables that told of changes not known here. */
-	private Optional<InetSocketAddress> knowsMore = Optional.empty();
+	/**
+	 * The address at which a gateway that reported changes missing here serves its
+	 * tables.
+	 */
+	private Optional<InetSocketAddress> newerPeer = Optional.empty();
 
-	/** When a change was found that no other gateway told of; empty before the first. */
-	private OptionalLong firstHandNanos = OptionalLong.empty();
+	/**
+	 * When this gateway last found a change that no other gateway had reported; empty
+	 * before the first.
+	 */
+	private OptionalLong ownChangeNanos = OptionalLong.empty();
 
-	private TableWatch(RowStore store, String table, FollowedTable known, PeerTables peers, FreshnessLimits limits,
+	private TableWatch(RowStore store, String table, FollowedTable replica, PeerTables peers, FreshnessLimits limits,
 			Listener listener) {
 		this.store = store;
 		this.table = table;
-		this.known = known;
+		this.replica = replica;
 		this.peers = peers;
 		this.listener = listener;
-		this.follower = TableFollower.of(known.freshness(), limits, () -> ThreadLocalRandom.current().nextDouble());
+		this.follower = TableFollower.of(replica.freshness(), limits, () -> ThreadLocalRandom.current().nextDouble());
 	}
 
 	/**
-	 * A watch that has asked nothing yet; {@link #tick} asks.
+	 * Creates a watch, which sends no query before the first call of {@link #tick}.
 	 * @param store the store
-	 * @param table the table
-	 * @param known takes the rows, for other gateways
-	 * @param peers other gateways, asked while the store does not answer
-	 * @param limits how old the knowledge of the table may become
-	 * @param listener told of rows
+	 * @param table the name of the table
+	 * @param replica the local copy, which is also served to other gateways
+	 * @param peers reads from other gateways while the store does not respond
+	 * @param limits the limits of how old the local copy may become
+	 * @param listener receives the rows
 	 * @return the watch
 	 */
-	static TableWatch of(RowStore store, String table, FollowedTable known, PeerTables peers, FreshnessLimits limits,
+	static TableWatch of(RowStore store, String table, FollowedTable replica, PeerTables peers, FreshnessLimits limits,
 			Listener listener) {
-		return new TableWatch(store, table, known, peers, limits, listener);
+		return new TableWatch(store, table, replica, peers, limits, listener);
 	}
 
-	// Not one of the questions is cancelled: a caller may still wait for its connection.
+	// No outstanding request is cancelled: a caller may still wait for its connection.
 	@Override
 	public synchronized void close() {
 		this.closed = true;
 	}
 
 	/**
-	 * Asks what is to be asked now.
-	 * @param role what this gateway does for the others
-	 * @param nowNanos the time
+	 * Sends the queries that are due.
+	 * @param role the role of this gateway in reading the tables
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void tick(Role role, long nowNanos) {
-		due(role, nowNanos).forEach(this::ask);
+		dueQueries(role, nowNanos).forEach(this::send);
 	}
 
-	private synchronized List<Asked> due(Role role, long nowNanos) {
+	private synchronized List<Asked> dueQueries(Role role, long nowNanos) {
 		return this.closed ? List.of() : this.follower.tick(role, nowNanos);
 	}
 
-	// -- what other gateways tell
+	// -- updates from other gateways
 
 	/**
-	 * Takes what another gateway tells of the table.
-	 * @param news what it tells
-	 * @param tables where it serves its tables
-	 * @param nowNanos the time
+	 * Processes an update of the table sent by another gateway.
+	 * @param update the update
+	 * @param tablesAddress the address at which that gateway serves its tables
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	synchronized void told(TableNews news, InetSocketAddress tables, long nowNanos) {
-		boolean follows = !news.getOmitted() && news.getSince() <= this.known.version();
-		boolean whole = follows || news.getVersion() <= this.known.version();
-		this.knowsMore = whole ? this.knowsMore : Optional.of(tables);
-		Optional<Long> proven = (news.getProvenMillis() == 0) ? Optional.empty()
-				: Optional.of(nowNanos - TimeUnit.MILLISECONDS.toNanos(news.getProvenMillis()));
-		this.follower.told(news.getVersion(), whole, proven, nowNanos);
-		if (follows) {
-			changed(FollowedTable.rows(news.getRowsList()), news.getVersion());
+	synchronized void receive(TableNews update, InetSocketAddress tablesAddress, long nowNanos) {
+		boolean contiguous = !update.getOmitted() && update.getSince() <= this.replica.version();
+		boolean complete = contiguous || update.getVersion() <= this.replica.version();
+		this.newerPeer = complete ? this.newerPeer : Optional.of(tablesAddress);
+		Optional<Long> confirmed = (update.getProvenMillis() == 0) ? Optional.empty()
+				: Optional.of(nowNanos - TimeUnit.MILLISECONDS.toNanos(update.getProvenMillis()));
+		this.follower.told(update.getVersion(), complete, confirmed, nowNanos);
+		if (contiguous) {
+			apply(FollowedTable.decode(update.getRowsList()), update.getVersion());
 		}
 	}
 
 	/**
-	 * The process stood still.
-	 * @param nowNanos the time at which it went on
+	 * Records a pause of the process.
+	 * @param nowNanos the time at which the process resumed, on the monotonic clock, in
+	 * nanoseconds
 	 */
 	synchronized void paused(long nowNanos) {
 		this.follower.paused(nowNanos);
 	}
 
 	/**
-	 * Whether it reads the table from the store, which answers.
-	 * @param nowNanos the time
-	 * @return false while other gateways are counted on, or too little is known
+	 * Returns whether this gateway reads the table from the store and the store responds.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return false while it relies on other gateways, or its copy is not sufficiently
+	 * confirmed
 	 */
 	synchronized boolean isReading(long nowNanos) {
 		return this.follower.isReading(nowNanos);
 	}
 
 	/**
-	 * How long ago the store proved that all changes are known.
-	 * @param nowNanos the time
-	 * @return the time in nanoseconds, empty when it never did
+	 * Returns the time since the store last confirmed to this gateway that its copy is
+	 * current.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the time in nanoseconds, or empty if the store never confirmed it
 	 */
 	synchronized OptionalLong ownAgeNanos(long nowNanos) {
 		return this.follower.ownAgeNanos(nowNanos);
 	}
 
 	/**
-	 * Whether it has something to tell: it reads the table, or found a change while those
-	 * who read it did not.
-	 * @param nowNanos the time
-	 * @return false when it only knows what it was told
+	 * Returns whether this gateway sends updates of the table: it reads the table, or
+	 * recently found a change that the gateways that read it had not reported.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return false if its copy only contains changes received from other gateways
 	 */
-	synchronized boolean tells(long nowNanos) {
-		boolean found = this.firstHandNanos.isPresent()
-				&& nowNanos - this.firstHandNanos.getAsLong() < FIRST_HAND_NANOS;
-		return found || this.follower.isReading(nowNanos);
+	synchronized boolean sendsUpdates(long nowNanos) {
+		boolean foundRecently = this.ownChangeNanos.isPresent()
+				&& nowNanos - this.ownChangeNanos.getAsLong() < OWN_CHANGE_RETENTION_NANOS;
+		return foundRecently || this.follower.isReading(nowNanos);
 	}
 
-	FollowedTable known() {
-		return this.known;
+	FollowedTable replica() {
+		return this.replica;
 	}
 
 	String table() {
 		return this.table;
 	}
 
-	// -- questions
+	// -- queries
 
-	private void ask(Asked asked) {
-		switch (asked.question()) {
-			case Question.Whole _ -> run(asked, readOn("", new ArrayList<>(), OptionalLong.empty()));
+	private void send(Asked sent) {
+		switch (sent.question()) {
+			case Question.Whole _ -> execute(sent, readPages("", new ArrayList<>(), OptionalLong.empty()));
 			case Question.Feed feed ->
-				run(asked, this.store.changes(this.table, feed.since(), Duration.ofNanos(feed.waitNanos())));
-			case Question.Check check -> run(asked, this.store.changes(this.table, check.since(), Duration.ZERO));
-			case Question.OfGateway gateway -> askGateway(gateway.known());
+				execute(sent, this.store.changes(this.table, feed.since(), Duration.ofNanos(feed.waitNanos())));
+			case Question.Check check -> execute(sent, this.store.changes(this.table, check.since(), Duration.ZERO));
+			case Question.OfGateway gateway -> queryPeer(gateway.known());
 		}
 	}
 
-	// A row of the first page may change while the others are read: what is known is as
-	// old as that page.
-	private Mono<Page> readOn(String from, List<Row> before, OptionalLong firstVersion) {
+	// A row of the first page may change while later pages are read, so the result has
+	// the version of the first page.
+	private Mono<Page> readPages(String from, List<Row> collected, OptionalLong firstVersion) {
 		return this.store.read(new Range(this.table, from, "")).flatMap((page) -> {
-			before.addAll(page.rows());
+			collected.addAll(page.rows());
 			long version = firstVersion.orElse(page.version());
 			if (!page.more()) {
-				return Mono.just(new Page(before, false, version));
+				return Mono.just(new Page(collected, false, version));
 			}
-			// The smallest key behind the last one.
-			return readOn(page.rows().getLast().key() + '\0', before, OptionalLong.of(version));
+			// The smallest key after the last one.
+			return readPages(page.rows().getLast().key() + '\0', collected, OptionalLong.of(version));
 		});
 	}
 
-	private void run(Asked asked, Mono<Page> question) {
+	private void execute(Asked sent, Mono<Page> response) {
 		Disposable.Swap handle = Disposables.swap();
 		synchronized (this) {
-			this.underWay.put(asked, handle);
+			this.outstanding.put(sent, handle);
 		}
-		handle.update(question.subscribe((page) -> answered(asked, page), (failure) -> failed(asked, failure)));
+		handle.update(
+				response.subscribe((page) -> handleResponse(sent, page), (failure) -> handleFailure(sent, failure)));
 	}
 
-	private synchronized void answered(Asked asked, Page page) {
-		this.underWay.remove(asked);
+	private synchronized void handleResponse(Asked sent, Page page) {
+		this.outstanding.remove(sent);
 		if (this.closed) {
 			return;
 		}
-		Answer answer = this.follower.answered(asked, page.version(), !page.rows().isEmpty(), System.nanoTime());
-		noteRegained(answer.failuresBefore());
-		noteOlder(answer.older(), page.version());
-		answer.lostFeed().ifPresent(this::giveUp);
-		if (answer.firstHand()) {
-			this.firstHandNanos = OptionalLong.of(System.nanoTime());
+		Answer result = this.follower.answered(sent, page.version(), !page.rows().isEmpty(), System.nanoTime());
+		logRecovery(result.failuresBefore());
+		logOutdated(result.older(), page.version());
+		result.lostFeed().ifPresent(this::abandonFeed);
+		if (result.firstHand()) {
+			this.ownChangeNanos = OptionalLong.of(System.nanoTime());
 		}
-		if (asked.question() instanceof Question.Whole) {
-			take(page.rows(), page.version());
+		if (sent.question() instanceof Question.Whole) {
+			replace(page.rows(), page.version());
 		}
 		else {
-			changed(page.rows(), page.version());
+			apply(page.rows(), page.version());
 		}
 	}
 
-	private void giveUp(Asked feed) {
-		EventLog.warn(GatewayEvents.FEED_LOST, "table", this.table, "since", this.known.version(), "waitedMillis",
+	private void abandonFeed(Asked feed) {
+		EventLog.warn(GatewayEvents.FEED_LOST, "table", this.table, "since", this.replica.version(), "waitedMillis",
 				TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - feed.sentNanos()));
-		Optional.ofNullable(this.underWay.remove(feed)).ifPresent(Disposable::dispose);
+		Optional.ofNullable(this.outstanding.remove(feed)).ifPresent(Disposable::dispose);
 	}
 
-	private void noteRegained(int failures) {
+	private void logRecovery(int failures) {
 		if (failures > 0) {
 			EventLog.info(GatewayEvents.STORE_REGAINED, "table", this.table, "failures", failures);
 		}
 	}
 
-	private void noteOlder(boolean older, long version) {
+	private void logOutdated(boolean older, long version) {
 		if (older) {
 			EventLog.warn(GatewayEvents.ANSWER_OUTDATED, "table", this.table, "version", version, "known",
-					this.known.version());
+					this.replica.version());
 		}
 	}
 
-	private void failed(Asked asked, Throwable failure) {
-		noteFailed(asked, failure).ifPresent(this::ask);
+	private void handleFailure(Asked sent, Throwable failure) {
+		recordFailure(sent, failure).ifPresent(this::send);
 	}
 
-	private synchronized Optional<Asked> noteFailed(Asked asked, Throwable failure) {
-		this.underWay.remove(asked);
+	private synchronized Optional<Asked> recordFailure(Asked sent, Throwable failure) {
+		this.outstanding.remove(sent);
 		if (this.closed) {
 			return Optional.empty();
 		}
 		boolean historyLost = failure instanceof StoreException ex && ex.reason() == StoreException.Reason.HISTORY_LOST;
-		boolean failing = this.follower.isFailing();
-		Optional<Asked> next = this.follower.failed(asked, historyLost, System.nanoTime());
+		boolean wasFailing = this.follower.isFailing();
+		Optional<Asked> next = this.follower.failed(sent, historyLost, System.nanoTime());
 		if (historyLost) {
 			EventLog.info(GatewayEvents.TABLE_READ_ANEW, "table", this.table);
 		}
-		else if (!failing && this.follower.isFailing()) {
+		else if (!wasFailing && this.follower.isFailing()) {
 			EventLog.warn(GatewayEvents.STORE_LOST, "table", this.table, "cause", failure.getMessage());
 		}
 		return next;
 	}
 
-	// The store may turn this gateway away and serve the others.
-	private void askGateway(long version) {
-		this.peers.newer(this.table, version, preferredGateway())
-			.subscribe(this::takeOfGateway, (failure) -> EventLog.info(GatewayEvents.PEER_CALL_FAILED, "table",
+	// The store may reject this gateway while it serves the others.
+	private void queryPeer(long version) {
+		this.peers.readNewer(this.table, version, preferredPeer())
+			.subscribe(this::applyPeerTable, (failure) -> EventLog.info(GatewayEvents.PEER_CALL_FAILED, "table",
 					this.table, "cause", failure.getMessage()));
 	}
 
-	// Once: it may be gone by now.
-	private synchronized Optional<InetSocketAddress> preferredGateway() {
-		Optional<InetSocketAddress> preferred = this.knowsMore;
-		this.knowsMore = Optional.empty();
+	// Used only once, because that gateway may have terminated since.
+	private synchronized Optional<InetSocketAddress> preferredPeer() {
+		Optional<InetSocketAddress> preferred = this.newerPeer;
+		this.newerPeer = Optional.empty();
 		return preferred;
 	}
 
-	private synchronized void takeOfGateway(TableRows newer) {
-		List<Row> rows = FollowedTable.rows(newer.getRowsList());
+	private synchronized void applyPeerTable(TableRows newer) {
+		List<Row> rows = FollowedTable.decode(newer.getRowsList());
 		EventLog.info(GatewayEvents.TABLE_FROM_PEER, "table", this.table, "version", newer.getVersion(), "before",
-				this.known.version(), "rows", rows.size());
-		if (take(rows, newer.getVersion())) {
+				this.replica.version(), "rows", rows.size());
+		if (replace(rows, newer.getVersion())) {
 			this.follower.told(newer.getVersion(), true, Optional.empty(), System.nanoTime());
 		}
 	}
 
-	// -- rows, one thread after the other: what the store and other gateways tell must
-	// reach the listener in the order in which it was taken
+	// -- rows are applied under the lock: changes from the store and from other gateways
+	// must reach the listener in the order in which they were applied
 
-	private void changed(List<Row> rows, long version) {
-		List<Row> news = this.known.changed(rows, version);
-		if (!news.isEmpty()) {
-			this.listener.changed(news, version);
+	private void apply(List<Row> rows, long version) {
+		List<Row> update = this.replica.apply(rows, version);
+		if (!update.isEmpty()) {
+			this.listener.changed(update, version);
 		}
 	}
 
-	// Another gateway may answer after the store told more: going back to its table would
-	// send calls to a server that has left.
-	private boolean take(List<Row> rows, long version) {
-		boolean taken = this.known.all(rows, version);
-		if (taken) {
+	// Another gateway may respond after the store has delivered newer changes. Going back
+	// to its older table would send calls to a server that has left.
+	private boolean replace(List<Row> rows, long version) {
+		boolean replaced = this.replica.replace(rows, version);
+		if (replaced) {
 			this.listener.all(rows, version);
 		}
-		return taken;
+		return replaced;
 	}
 
-	/** Takes what a watch sees, on any thread, one call at a time. */
+	/** Receives the rows of a watch, on any thread, one call at a time. */
 	interface Listener {
 
 		/**
-		 * The whole table was read.
+		 * Called after the whole table was read.
 		 * @param rows all rows
-		 * @param version the version of the store at that moment
+		 * @param version the version of the store at the time of the read
 		 */
 		void all(List<Row> rows, long version);
 
 		/**
-		 * Rows changed.
-		 * @param rows the changed rows in order
-		 * @param version the version up to which changes are known
+		 * Called after rows have changed.
+		 * @param rows the changed rows, in order
+		 * @param version the version up to which the changes are complete
 		 */
 		void changed(List<Row> rows, long version);
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/MemoryRowStore.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/MemoryRowStore.java
@@ -17,7 +17,7 @@
 import org.rosemaryfront.ports.StoreException;
 import org.rosemaryfront.ports.StoreException.Reason;
 
-/** A table service in memory, which can be away and forget its history. */
+/** An in-memory table service that can be unavailable and can lose its history. */
 final class MemoryRowStore implements RowStore {
 
 	private final Map<String, TreeMap<String, Row>> tables = new HashMap<>();
@@ -26,19 +26,19 @@
 
 	private long version;
 
-	private long historyFrom;
+	private long historyStart;
 
 	private boolean away;
 
-	/** Commits that came while the store was away, by table. */
+	/** Commits rejected during an outage, by table. */
 	private final Map<String, Integer> refusedCommits = new HashMap<>();
 
 	private boolean closed;
 
-	/** Questions for changes that wait, by table. */
-	private final Map<String, Integer> waiting = new HashMap<>();
+	/** Waiting requests for changes, by table. */
+	private final Map<String, Integer> waitingRequests = new HashMap<>();
 
-	// -- the test's side
+	// -- methods for tests
 
 	synchronized void put(String table, String key, String value) {
 		write(table, key, Optional.of(value.getBytes(StandardCharsets.UTF_8)));
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	 * The commits that came while the store was away.
+	 * Returns the number of commits rejected during an outage.
 	 * @param table the table
 	 * @return the count
 	 */
@@ -65,15 +65,15 @@
 	}
 
 	/**
-	 * The questions for changes that wait.
+	 * Returns the number of requests that wait for changes.
 	 * @param table the table
 	 * @return the count
 	 */
-	synchronized int waiting(String table) {
-		return this.waiting.getOrDefault(table, 0);
+	synchronized int waitingRequests(String table) {
+		return this.waitingRequests.getOrDefault(table, 0);
 	}
 
-	/** Answers whoever still waits, so that no thread outlives its test. */
+	/** Completes all waiting requests, so that no thread outlives its test. */
 	synchronized void close() {
 		this.closed = true;
 		notifyAll();
@@ -81,35 +81,35 @@
 
 	synchronized void forgetHistory() {
 		this.history.clear();
-		this.historyFrom = this.version;
+		this.historyStart = this.version;
 	}
 
 	synchronized Map<String, Row> rows(String table) {
 		return Map.copyOf(this.tables.getOrDefault(table, new TreeMap<>()));
 	}
 
-	// -- the gateway's side
+	// -- methods for gateways
 
 	@Override
 	public Mono<Outcome> commit(Commit commit) {
-		return Mono.fromCallable(() -> committed(commit)).subscribeOn(Schedulers.boundedElastic());
+		return Mono.fromCallable(() -> applyCommit(commit)).subscribeOn(Schedulers.boundedElastic());
 	}
 
 	@Override
 	public Mono<Page> read(Range range) {
-		return Mono.fromCallable(() -> page(range)).subscribeOn(Schedulers.boundedElastic());
+		return Mono.fromCallable(() -> readPage(range)).subscribeOn(Schedulers.boundedElastic());
 	}
 
 	@Override
 	public Mono<Page> changes(String table, long since, Duration wait) {
-		return Mono.fromCallable(() -> changed(table, since, wait)).subscribeOn(Schedulers.boundedElastic());
+		return Mono.fromCallable(() -> awaitChanges(table, since, wait)).subscribeOn(Schedulers.boundedElastic());
 	}
 
-	private synchronized Outcome committed(Commit commit) {
+	private synchronized Outcome applyCommit(Commit commit) {
 		if (this.away) {
 			this.refusedCommits.merge(commit.table(), 1, Integer::sum);
 		}
-		check();
+		checkAvailable();
 		TreeMap<String, Row> rows = this.tables.computeIfAbsent(commit.table(), (_) -> new TreeMap<>());
 		for (Condition condition : commit.conditions()) {
 			long found = Optional.ofNullable(rows.get(condition.key())).map(Row::version).orElse(0L);
@@ -123,8 +123,8 @@
 		return new Outcome.Committed(this.version);
 	}
 
-	private synchronized Page page(Range range) {
-		check();
+	private synchronized Page readPage(Range range) {
+		checkAvailable();
 		List<Row> rows = this.tables.getOrDefault(range.table(), new TreeMap<>())
 			.values()
 			.stream()
@@ -134,11 +134,11 @@
 		return new Page(rows, false, this.version);
 	}
 
-	private synchronized Page changed(String table, long since, Duration wait) throws InterruptedException {
+	private synchronized Page awaitChanges(String table, long since, Duration wait) throws InterruptedException {
 		long until = System.nanoTime() + wait.toNanos();
 		while (true) {
-			check();
-			if (since < this.historyFrom) {
+			checkAvailable();
+			if (since < this.historyStart) {
 				throw StoreException.of(Reason.HISTORY_LOST, Verdict.notRun(), "history lost");
 			}
 			List<Row> rows = this.history.stream()
@@ -149,13 +149,13 @@
 			if (!rows.isEmpty() || left <= 0 || this.closed) {
 				return new Page(rows, false, this.version);
 			}
-			this.waiting.merge(table, 1, Integer::sum);
+			this.waitingRequests.merge(table, 1, Integer::sum);
 			wait(Math.max(1, left / 1_000_000));
-			this.waiting.merge(table, -1, Integer::sum);
+			this.waitingRequests.merge(table, -1, Integer::sum);
 		}
 	}
 
-	private void check() {
+	private void checkAvailable() {
 		if (this.away) {
 			throw StoreException.of(Reason.UNAVAILABLE, Verdict.notRun(), "away");
 		}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/QuotaSharingTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/QuotaSharingTests.java
@@ -18,19 +18,19 @@
 
 	private static final double CALLS_PER_SECOND = 100;
 
-	private static final int FLOOD_MILLIS = 4_000;
+	private static final int BURST_MILLIS = 4_000;
 
-	// All processes are killed while the store is away, and start before it is back.
-	// Their first reading of who else is there failed, and the next one was ten seconds
-	// off: each took itself for the only gateway, and an organisation that flooded
-	// right after the store's return got its quota from every one of them.
+	// All processes are killed during an outage of the store, and start before it ends.
+	// Their first read of the table of gateways failed, and the next one was ten seconds
+	// later: each process took itself for the only gateway, and an organisation that sent
+	// a burst right after the outage got its whole quota from each of them.
 	@Test
-	void shouldHoldQuotaWhenStoreIsAwayAtTheStart() throws Exception {
+	void shouldEnforceQuotaWhenStoreIsUnavailableAtStart() throws Exception {
 		MemoryRowStore store = new MemoryRowStore();
 		store.away(true);
 		List<GatewayHarness> fleet = GatewayHarness.startFleet(store, 3, WINDOW_MILLIS);
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
-			// Long enough for the first reading to fail.
+			// Long enough for the first read to fail.
 			Thread.sleep(500);
 			store.away(false);
 			fleet.getFirst()
@@ -39,8 +39,8 @@
 			for (GatewayHarness gateway : fleet) {
 				gateway.register("s1", server).ready();
 			}
-			flood(fleet);
-			double allowed = CALLS_PER_SECOND * FLOOD_MILLIS / 1_000;
+			sendBurst(fleet);
+			double allowed = CALLS_PER_SECOND * BURST_MILLIS / 1_000;
 			assertThat((double) server.requests().size()).isBetween(1.0, 1.5 * allowed);
 		}
 		finally {
@@ -48,11 +48,11 @@
 		}
 	}
 
-	private static void flood(List<GatewayHarness> fleet) throws Exception {
-		long until = System.nanoTime() + FLOOD_MILLIS * 1_000_000L;
+	private static void sendBurst(List<GatewayHarness> fleet) throws Exception {
+		long until = System.nanoTime() + BURST_MILLIS * 1_000_000L;
 		try (ExecutorService callers = Executors.newVirtualThreadPerTaskExecutor()) {
 			List<Future<?>> all = fleet.stream()
-				.<Future<?>>map((gateway) -> callers.submit(() -> call(gateway, until)))
+				.<Future<?>>map((gateway) -> callers.submit(() -> sendCalls(gateway, until)))
 				.toList();
 			for (Future<?> caller : all) {
 				caller.get();
@@ -60,7 +60,7 @@
 		}
 	}
 
-	private static Void call(GatewayHarness gateway, long untilNanos) throws IOException, InterruptedException {
+	private static Void sendCalls(GatewayHarness gateway, long untilNanos) throws IOException, InterruptedException {
 		while (System.nanoTime() - untilNanos < 0) {
 			gateway.ask(RawCaller.get("c1", "/sheets/"));
 			Thread.sleep(2);
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RecordedDuties.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RecordedDuties.java
@@ -12,14 +12,14 @@
 import org.rosemaryfront.ports.StoreException;
 import org.rosemaryfront.ports.StoreException.Reason;
 
-/** Remembers the calls of duties, and can lose their answers. */
+/** Records the requests of duties, and can lose their responses. */
 final class RecordedDuties implements Duties {
 
 	private final List<Usage> usages = new CopyOnWriteArrayList<>();
 
 	private final List<Size> sizes = new CopyOnWriteArrayList<>();
 
-	private volatile boolean losingAnswers;
+	private volatile boolean losingResponses;
 
 	private volatile long fencedBelow;
 
@@ -35,8 +35,8 @@
 		this.fencedBelow = fence;
 	}
 
-	void losingAnswers(boolean now) {
-		this.losingAnswers = now;
+	void losingResponses(boolean now) {
+		this.losingResponses = now;
 	}
 
 	@Override
@@ -44,8 +44,8 @@
 		return Mono.defer(() -> {
 			this.usages.add(new Usage(fence, window, Map.copyOf(counts)));
 			return (fence < this.fencedBelow)
-					? Mono.error(StoreException.of(Reason.FENCED, Verdict.notRun(), "a higher fence was seen"))
-					: answer();
+					? Mono.error(StoreException.of(Reason.FENCED, Verdict.notRun(), "a higher fencing number was seen"))
+					: respond();
 		});
 	}
 
@@ -53,22 +53,22 @@
 	public Mono<Void> resize(long fence, Size order) {
 		return Mono.defer(() -> {
 			this.sizes.add(order);
-			return answer();
+			return respond();
 		});
 	}
 
-	private Mono<Void> answer() {
-		return this.losingAnswers
-				? Mono.error(StoreException.of(Reason.UNREACHABLE, Verdict.mayHaveRun(), "the answer is lost"))
+	private Mono<Void> respond() {
+		return this.losingResponses
+				? Mono.error(StoreException.of(Reason.UNREACHABLE, Verdict.mayHaveRun(), "response lost"))
 				: Mono.empty();
 	}
 
 	/**
-	 * A report of use.
+	 * A usage report.
 	 *
 	 * @param fence the fencing number
 	 * @param window the window
-	 * @param counts the counts
+	 * @param counts the calls by organisation
 	 */
 	record Usage(long fence, long window, Map<String, Long> counts) {
 	}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SizeDutyTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SizeDutyTests.java
@@ -21,7 +21,7 @@
 
 class SizeDutyTests {
 
-	private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
+	private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	private static final TrafficConfiguration CONFIGURATION = TrafficConfiguration.of(1, List.of(),
 			List.of(new ServiceSpec("llm", 100, Optional.of(new EngineSpec(64, 500_000, 0, 0)),
@@ -37,16 +37,16 @@
 			});
 
 	@Test
-	void shouldOrderReclaimableServersAtOnce() {
+	void shouldOrderReclaimableServersWhenThereIsNoPlanYet() {
 		act(0);
 		assertThat(this.duties.sizes()).containsExactly(new Size("llm", "a", 2, true), new Size("llm", "b", 2, true));
 	}
 
-	// The servers that run were given back before those that replace them served: for the
-	// time of a boot there was nobody.
+	// The running servers were released before their replacements served, which left no
+	// server during the time of a boot.
 	@Test
-	void shouldKeepServersThatRunUntilOthersServe() {
-		registerLasting();
+	void shouldKeepRunningServersWhenReplacementsDoNotServeYet() {
+		registerOnDemand();
 		act(0);
 		act(2);
 		assertThat(this.duties.sizes()).allMatch(Size::reclaimable);
@@ -58,11 +58,11 @@
 		assertThat(this.duties.sizes()).contains(new Size("llm", "b", 0, false));
 	}
 
-	// The servers of a service register themselves within some three seconds of the
-	// start. A plan from the first of them gave the others back, and the traffic met
-	// four servers in place of seven.
+	// The servers of a service register within about three seconds of the start. A plan
+	// made from the first of them released the others, and the traffic met four servers
+	// instead of seven.
 	@Test
-	void shouldPlanOnceNoMoreServersRegisterThemselves() {
+	void shouldPlanWhenNoMoreServersRegister() {
 		for (int second = 0; second < 4; second++) {
 			register("a" + second, "a", false);
 			act(second);
@@ -79,26 +79,26 @@
 		assertThat(this.duties.sizes()).noneMatch((size) -> size.reclaimable() && size.servers() < 2);
 	}
 
-	// The process that holds the duties is lost in the middle of high load. Its successor
-	// had never looked at the demand, and gave the servers back that were needed.
+	// The holder of the duties is lost during high load. Its successor had never measured
+	// the demand, and released servers that were needed.
 	@Test
-	void shouldKnowNeedWhenItTakesTheDutiesOver() {
+	void shouldKnowRequiredCapacityWhenTakingOverDuties() {
 		register("a1", "a", false);
 		for (String id : List.of("r1", "r2", "r3")) {
 			register(id + "a", "a", true);
 			register(id + "b", "b", true);
 		}
 		for (int second = 0; second < 40; second++) {
-			this.duty.look(CONFIGURATION, 150_000.0 * second, second * SECOND);
+			this.duty.updatePlans(CONFIGURATION, 150_000.0 * second, second * SECOND_NANOS);
 		}
 		act(40);
 		assertThat(this.duties.sizes()).noneMatch((size) -> size.reclaimable() && size.servers() < 3);
 	}
 
-	// A zone is reclaimed: each second until the next look is one without its servers.
+	// A zone is reclaimed: until the next plan, each second passes without its servers.
 	@Test
-	void shouldOrderAtOnceWhenServersGo() {
-		registerLasting();
+	void shouldOrderImmediatelyWhenServersAreRemoved() {
+		registerOnDemand();
 		act(0);
 		for (String id : List.of("r1", "r2")) {
 			register(id + "a", "a", true);
@@ -107,23 +107,23 @@
 		act(4);
 		int before = this.duties.sizes().size();
 		for (String id : List.of("r1b", "r2b")) {
-			this.servers.lapsed(id, 4 * SECOND, OptionalLong.empty());
+			this.servers.lapsed(id, 4 * SECOND_NANOS, OptionalLong.empty());
 		}
-		this.servers.expire(4 * SECOND);
-		this.duty.act(1, CONFIGURATION, 4 * SECOND + SECOND / 10);
+		this.servers.expire(4 * SECOND_NANOS);
+		this.duty.act(1, CONFIGURATION, 4 * SECOND_NANOS + SECOND_NANOS / 10);
 		assertThat(this.duties.sizes().subList(before, this.duties.sizes().size()))
 			.contains(new Size("llm", "b", 2, true));
 	}
 
 	@Test
-	void shouldNotRepeatOrderThatIsUnderWay() {
+	void shouldNotRepeatOrderWhenItIsOutstanding() {
 		act(0);
 		act(1);
 		act(2);
 		assertThat(this.duties.sizes()).hasSize(2);
 	}
 
-	private void registerLasting() {
+	private void registerOnDemand() {
 		for (String zone : List.of("a", "b")) {
 			register(zone + "1", zone, false);
 			register(zone + "2", zone, false);
@@ -136,8 +136,8 @@
 	}
 
 	private void act(int second) {
-		this.duty.look(CONFIGURATION, 0, second * SECOND);
-		this.duty.act(1, CONFIGURATION, second * SECOND);
+		this.duty.updatePlans(CONFIGURATION, 0, second * SECOND_NANOS);
+		this.duty.act(1, CONFIGURATION, second * SECOND_NANOS);
 	}
 
 }
