--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendRow.java
@@ -4,42 +4,51 @@
 import java.util.Map;
 import java.util.OptionalLong;
 
-/** A backend server with what this process knows of its load. */
+/** A backend server in the table: its registration and the load recorded for it. */
 final class BackendRow {
 
 	BackendServer server;
 
-	/** Calls of this process that wait for an answer or run there. */
+	/** Calls of this process that are waiting or running at the server. */
 	int own;
 
-	/** Prompt tokens of own calls whose first token did not come yet. */
+	/**
+	 * Prompt tokens to prefill for calls of this process that have no first token yet.
+	 */
 	long ownUnread;
 
-	/** What other processes have there, by process, as last told. */
+	/** The last reported use of the server by other processes, by process. */
 	final Map<String, BackendUse> others = new HashMap<>();
 
-	/** When it is dropped unless it registers again; empty while it is registered. */
+	/**
+	 * When the server is removed unless it registers again; empty while it is registered.
+	 */
 	OptionalLong dropAtNanos = OptionalLong.empty();
 
-	/** Whether its last registration could not be read. */
+	/** Whether the last registration could not be parsed. */
 	boolean unreadable;
 
-	/** No new calls before this time unless no other server is left, after failures. */
+	/**
+	 * After failures, the time before which the server is chosen only if no other is
+	 * left.
+	 */
 	OptionalLong avoidUntilNanos = OptionalLong.empty();
 
-	/** How long first tokens took, against what was expected; smoothed. */
+	/** Smoothed ratio of measured to expected time to first token. */
 	double slowness = 1;
 
-	/** The number of the last call sent there. */
+	/** The sequence number of the last call sent to the server. */
 	long lastSent;
 
-	/** When it registered itself; empty when it was there before this process looked. */
+	/**
+	 * When the server registered; empty if it was registered before this process started.
+	 */
 	final OptionalLong registeredNanos;
 
-	/** The shared parts of prompts that it is taken to have read. */
+	/** The prompt segments that the server is assumed to have cached. */
 	final PartCache parts = new PartCache();
 
-	/** Failures since the last good answer. */
+	/** Consecutive failed calls. */
 	int failures;
 
 	BackendRow(BackendServer server, OptionalLong registeredNanos) {
@@ -67,8 +76,8 @@
 		return !this.unreadable && !this.server.leaving();
 	}
 
-	// Never shorter than before: calls that fail at a server that crashed say no more
-	// than that.
+	// Never shortens the period: calls that fail at a crashed server give no new
+	// information.
 	void avoidUntil(long nanos) {
 		if (this.avoidUntilNanos.isEmpty() || nanos - this.avoidUntilNanos.getAsLong() > 0) {
 			this.avoidUntilNanos = OptionalLong.of(nanos);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendServer.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendServer.java
@@ -1,40 +1,41 @@
 package org.rosemaryfront.dispatch;
 
 /**
- * A backend server as it registered itself.
+ * A backend server as described by its registration.
  *
- * @param id its name, which it may keep when it starts again
+ * @param id its name, which may stay the same after a restart
  * @param startedMillis when it started, in milliseconds since 1970;
- * {@link #START_UNKNOWN} when it does not say
+ * {@link #START_UNKNOWN} if it does not report its start time
  * @param service the name of its service
  * @param version the version of its software
  * @param address its address, {@code host:port}
  * @param zone its availability zone
- * @param slots the requests that it runs at once
- * @param leaving whether it takes no new calls
+ * @param slots the maximum number of requests that it runs concurrently
+ * @param leaving whether it accepts no new calls
  * @param reclaimable whether its VM may be reclaimed
- * @param sequence the number of the registration, which grows from one to the next of a
- * start
+ * @param sequence the sequence number of the registration, which increases until the
+ * server restarts
  */
 public record BackendServer(String id, long startedMillis, String service, String version, String address, String zone,
 		int slots, boolean leaving, boolean reclaimable, long sequence) {
 
-	/** The start of a server that does not say when it started. */
+	/** The start time of a server that does not report one. */
 	public static final long START_UNKNOWN = 0;
 
 	/**
-	 * This start of the server.
-	 * @return the start
+	 * Returns the identity of this run of the server.
+	 * @return the name and the start time
 	 */
 	public Start start() {
 		return new Start(this.id, this.startedMillis);
 	}
 
 	/**
-	 * Whether another registration of the server came after this one. Of two with the
-	 * same number the one that says that it leaves did.
-	 * @param other the other one
-	 * @return true when this one says nothing any more
+	 * Returns whether another registration of the server supersedes this one. Of two
+	 * registrations with the same sequence number, the one with {@code leaving} set is
+	 * the later one.
+	 * @param other the other registration
+	 * @return true if this registration is outdated
 	 */
 	boolean isBefore(BackendServer other) {
 		if (this.startedMillis != other.startedMillis) {
@@ -45,9 +46,9 @@
 	}
 
 	/**
-	 * Whether another registration says the same.
-	 * @param other the other one
-	 * @return true when they differ in their numbers at most
+	 * Returns whether another registration has the same content.
+	 * @param other the other registration
+	 * @return true if they differ at most in their sequence numbers
 	 */
 	boolean saysTheSame(BackendServer other) {
 		return numbered(0).equals(other.numbered(0));
@@ -59,8 +60,8 @@
 	}
 
 	/**
-	 * One start of a server. A server that starts again has nothing of before: no calls,
-	 * no connections, no cached prompts.
+	 * One run of a server. A restarted server has no calls, connections or cached prompts
+	 * of its previous run.
 	 *
 	 * @param id its name
 	 * @param startedMillis when it started, in milliseconds since 1970
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendTable.java
@@ -16,90 +16,96 @@
 import org.rosemaryfront.dispatch.BackendServer.Start;
 
 /**
- * The backend servers that may get calls, from their registrations. Times are on the
- * monotonic clock, in nanoseconds.
+ * The backend servers that can receive calls, built from their registrations, and their
+ * load. Times are on the monotonic clock, in nanoseconds.
  */
 public final class BackendTable {
 
 	/**
-	 * How long after the return of the registry registrations come back that lapsed while
-	 * it was away.
+	 * The time after an outage of the registry within which servers whose registrations
+	 * lapsed during the outage register again.
 	 */
 	private static final long RETURN_NANOS = TimeUnit.MILLISECONDS.toNanos(2_200);
 
 	/**
-	 * How long a server whose registration ended is kept at most. It may have left for
-	 * good and must get no calls two seconds later; the rest is for calls under way.
+	 * The maximum retention of a server whose registration ended. If the server was
+	 * terminated it must get no calls two seconds later; the remaining 0.4 s is for calls
+	 * in progress.
 	 */
 	private static final long KEPT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_600);
 
 	/**
-	 * How long a server gets no new calls after a failure, doubled for each failure in a
-	 * row up to {@link #AVOID_DOUBLINGS}. Long enough to spare callers a server that is
-	 * gone before its registration says so, short enough to find out that it is back.
+	 * How long a server gets no new calls after a failure, doubled for each consecutive
+	 * failure up to {@link #AVOID_DOUBLINGS} times. Long enough to keep calls from a
+	 * terminated server whose registration has not lapsed yet, short enough to notice
+	 * soon that it is available again.
 	 */
 	private static final long AVOID_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
 	private static final int AVOID_DOUBLINGS = 4;
 
 	/**
-	 * How long a server that crashed gets no calls, unless no other is left: longer than
-	 * its registration lasts without heartbeats.
+	 * How long a crashed server gets no calls unless no other server is left: longer than
+	 * a registration lasts without heartbeats.
 	 */
 	private static final long CRASHED_NANOS = TimeUnit.SECONDS.toNanos(4);
 
-	/** Failures in a row before a server is avoided: one may be the call's own fault. */
+	/**
+	 * Consecutive failures before a server is avoided; a single one may be caused by the
+	 * call itself.
+	 */
 	private static final int AVOID_AFTER = 2;
 
-	/** The weight of the newest first token in a server's slowness. */
+	/** The weight of the newest sample in a server's smoothed slowness. */
 	private static final double SLOWNESS_NEWEST = 0.15;
 
-	/** One first token counts at most as so much slower, or faster, than expected. */
+	/** The bound of a single slowness sample, as a factor in both directions. */
 	private static final double SLOWNESS_MOST = 5;
 
 	/**
-	 * Servers of which the last registration is remembered; those dropped long ago go.
+	 * The maximum number of servers whose last registration is retained; the oldest
+	 * entries are evicted first.
 	 */
 	private static final int LATEST_MOST = 8_192;
 
 	private final Map<String, BackendRow> rows = new LinkedHashMap<>();
 
-	/** The servers at which each other process last had something. */
+	/** The servers that each other process used according to its last report. */
 	private final Map<String, Set<Start>> usedBy = new HashMap<>();
 
-	/** The last registrations of servers, also of those that were dropped. */
+	/** The last registration of each server, including servers that were removed. */
 	private final Map<String, BackendServer> latest = new LinkedHashMap<>();
 
 	private final PartNews partNews = new PartNews();
 
-	/** Calls sent so far, to any server. */
+	/** The number of calls sent so far, to all servers. */
 	private long sent;
 
 	// -- registrations
 
 	/**
-	 * Takes the registration of a server, new or changed.
+	 * Adds or updates a server from its registration.
 	 * @param server the server
-	 * @param nowNanos the time
-	 * @return true when it is new or changed
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return true if the server is new or its registration changed
 	 */
 	public boolean registered(BackendServer server, long nowNanos) {
 		return put(server, OptionalLong.of(nowNanos));
 	}
 
 	/**
-	 * Takes a server that was registered before this process first looked: how long ago
-	 * is not known.
+	 * Adds a server that was registered before this process first read the registry, so
+	 * that the time of its registration is unknown.
 	 * @param server the server
-	 * @return true when it is new or changed
+	 * @return true if the server is new or its registration changed
 	 */
 	public boolean foundAtStart(BackendServer server) {
 		return put(server, OptionalLong.empty());
 	}
 
-	// Guards against a server that starts again under its id: it has none of the calls
-	// and cached prompts that were noted for it, and calls that are still counted there
-	// would keep others away, or end as its own and hide those that it really runs.
+	// A server that restarts under its id has none of the calls and cached prompts
+	// recorded for it. Calls that were still counted would keep new calls away, or their
+	// ends would be counted against calls that the new run really executes.
 	private boolean put(BackendServer server, OptionalLong registeredNanos) {
 		if (isOutdated(server)) {
 			return false;
@@ -126,41 +132,42 @@
 	}
 
 	/**
-	 * Whether a registration is older than one that was taken. Heartbeats may be written
-	 * late: behind the word that the server leaves, or behind the end of its
-	 * registration.
-	 * @param server the server as it registered itself
-	 * @return true when the registration is passed over
+	 * Returns whether a registration is older than one already processed. A heartbeat may
+	 * be written late, after the registration that marks the server as leaving or after
+	 * the registration ended.
+	 * @param server the server as described by the registration
+	 * @return true if the registration must be ignored
 	 */
 	public boolean isOutdated(BackendServer server) {
 		return Optional.ofNullable(this.latest.get(server.id())).filter(server::isBefore).isPresent();
 	}
 
 	/**
-	 * Whether another start of a server is known under its id.
+	 * Returns whether the table holds another run of the server under the same id.
 	 * @param server the server
-	 * @return true when it starts again with this registration
+	 * @return true if the registration is the first one after a restart
 	 */
 	public boolean isOtherStart(BackendServer server) {
 		return find(server.id()).filter((known) -> !known.start().equals(server.start())).isPresent();
 	}
 
 	/**
-	 * Takes a registration that cannot be read: the server gets no new calls until one
-	 * comes that can.
-	 * @param id the server
+	 * Handles a registration that cannot be parsed: the server gets no new calls until a
+	 * valid registration arrives.
+	 * @param id the id of the server
 	 */
 	public void unreadable(String id) {
 		Optional.ofNullable(this.rows.get(id)).ifPresent((row) -> row.unreadable = true);
 	}
 
 	/**
-	 * Takes the end of a registration. The server is dropped at once, unless its
-	 * registration may only have lapsed while the registry was away.
-	 * @param id the server
-	 * @param nowNanos the time
-	 * @param returnedNanos when the registry last came back, empty if it was never away
-	 * @return how long it is kept from now on, in nanoseconds
+	 * Handles the end of a registration. The server is removed immediately, unless its
+	 * registration may have lapsed only because the registry was unavailable.
+	 * @param id the id of the server
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @param returnedNanos when the registry last became available again, empty if it was
+	 * never unavailable
+	 * @return the remaining time for which the server is retained, in nanoseconds
 	 */
 	public long lapsed(String id, long nowNanos, OptionalLong returnedNanos) {
 		BackendRow row = this.rows.get(id);
@@ -172,9 +179,9 @@
 	}
 
 	/**
-	 * Drops the servers whose time is over.
-	 * @param nowNanos the time
-	 * @return the servers dropped
+	 * Removes the servers whose retention time is over.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the servers removed
 	 */
 	public List<BackendServer> expire(long nowNanos) {
 		List<BackendServer> dropped = new ArrayList<>();
@@ -191,9 +198,9 @@
 	// -- load
 
 	/**
-	 * Notes that a call was handed to a server.
-	 * @param server the start of the server
-	 * @param unreadTokens the prompt tokens that the server has to read for it
+	 * Records that a call was sent to a server.
+	 * @param server the run of the server
+	 * @param unreadTokens the prompt tokens that the server has to prefill for the call
 	 */
 	public void sent(Start server, long unreadTokens) {
 		row(server).ifPresent((row) -> {
@@ -204,10 +211,10 @@
 	}
 
 	/**
-	 * Notes that a server reads or fetches shared parts for a call.
-	 * @param server the start of the server
-	 * @param shared the parts
-	 * @param memoryTokens what the server's memory holds, in tokens
+	 * Records that a server prefills or transfers prompt segments for a call.
+	 * @param server the run of the server
+	 * @param shared the segments
+	 * @param memoryTokens the capacity of the server's KV cache, in tokens
 	 */
 	public void reads(Start server, SharedParts shared, long memoryTokens) {
 		row(server).ifPresent((row) -> shared.parts().forEach((part) -> {
@@ -218,37 +225,38 @@
 	}
 
 	/**
-	 * Takes the parts that a server read for another process.
-	 * @param server the start of the server
-	 * @param parts the parts
-	 * @param memoryTokens what the server's memory holds, in tokens
+	 * Records segments that a server prefilled for another process.
+	 * @param server the run of the server
+	 * @param parts the segments
+	 * @param memoryTokens the capacity of the server's KV cache, in tokens
 	 */
 	public void othersRead(Start server, List<SharedParts.Part> parts, long memoryTokens) {
 		row(server).ifPresent((row) -> parts.forEach((part) -> row.parts.add(part, memoryTokens)));
 	}
 
 	/**
-	 * The parts that servers read of late for this process, for the others.
-	 * @return the parts by start of a server
+	 * Returns the segments that servers recently prefilled for this process, to be
+	 * reported to the other processes, and removes them from the pending updates.
+	 * @return the segments by run of a server
 	 */
 	public Map<Start, List<SharedParts.Part>> partsToTell() {
 		return this.partNews.take();
 	}
 
 	/**
-	 * Notes that a server has read the prompt of a call.
-	 * @param server the start of the server
-	 * @param unreadTokens the tokens that were noted when the call was sent
+	 * Records that a server has prefilled the prompt of a call.
+	 * @param server the run of the server
+	 * @param unreadTokens the tokens recorded when the call was sent
 	 */
 	public void read(Start server, long unreadTokens) {
 		row(server).ifPresent((row) -> row.ownUnread = Math.max(0, row.ownUnread - unreadTokens));
 	}
 
 	/**
-	 * Notes how long the first token of a call took.
-	 * @param server the start of the server
-	 * @param expectedMillis the time that was expected, in milliseconds
-	 * @param millis the time that it took, in milliseconds
+	 * Records the time to first token of a call.
+	 * @param server the run of the server
+	 * @param expectedMillis the expected time, in milliseconds
+	 * @param millis the measured time, in milliseconds
 	 */
 	public void firstToken(Start server, long expectedMillis, long millis) {
 		double ratio = Math.clamp((double) millis / Math.max(1, expectedMillis), 1 / SLOWNESS_MOST, SLOWNESS_MOST);
@@ -256,10 +264,10 @@
 	}
 
 	/**
-	 * Notes that a call ended.
-	 * @param server the start of the server
-	 * @param failed whether the server failed it
-	 * @param nowNanos the time
+	 * Records that a call ended.
+	 * @param server the run of the server
+	 * @param failed whether the call failed because of the server
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void ended(Start server, boolean failed, long nowNanos) {
 		row(server).ifPresent((row) -> ended(row, failed, nowNanos));
@@ -275,35 +283,36 @@
 	}
 
 	/**
-	 * Notes that a server crashed. Until its registration lapses it stands in the table
-	 * for some seconds, and each call sent there loses a round trip.
-	 * @param server the start of the server
-	 * @param nowNanos the time
+	 * Records that a server crashed. Until its registration lapses it stays in the table
+	 * for some seconds, and each call sent to it costs a round trip.
+	 * @param server the run of the server
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void crashed(Start server, long nowNanos) {
 		row(server).ifPresent((row) -> row.avoidUntil(nowNanos + CRASHED_NANOS));
 	}
 
 	/**
-	 * Notes that a server lives that was taken for crashed.
-	 * @param server the start of the server
+	 * Records that a server assumed to have crashed is alive.
+	 * @param server the run of the server
 	 */
 	public void lives(Start server) {
 		row(server).ifPresent((row) -> row.avoidUntilNanos = OptionalLong.empty());
 	}
 
 	/**
-	 * Notes that a caller gave a call up, which says nothing of its server.
-	 * @param server the start of the server
+	 * Records that the caller cancelled a call, which is not counted as a failure or
+	 * success of the server.
+	 * @param server the run of the server
 	 */
 	public void abandoned(Start server) {
 		row(server).ifPresent((row) -> row.own = Math.max(0, row.own - 1));
 	}
 
 	/**
-	 * Takes what another process has at the servers.
+	 * Replaces the use of the servers reported by another process.
 	 * @param process the other process
-	 * @param uses what it has, by start of a server; those that are absent have nothing
+	 * @param uses its use by run of a server; servers that are absent are not used by it
 	 */
 	public void othersAt(String process, Map<Start, BackendUse> uses) {
 		Set<Start> before = this.usedBy.getOrDefault(process, Set.of());
@@ -315,8 +324,9 @@
 	}
 
 	/**
-	 * What this process has at the servers.
-	 * @return its use by start of a server, without those at which it has nothing
+	 * Returns the use of the servers by this process.
+	 * @return the use by run of a server, without servers that have no call of this
+	 * process
 	 */
 	public Map<Start, BackendUse> ownUse() {
 		Map<Start, BackendUse> uses = new HashMap<>();
@@ -331,25 +341,25 @@
 	// -- queries
 
 	/**
-	 * A server.
-	 * @param id the server
-	 * @return the server, empty when it is not known
+	 * Returns a server by its id.
+	 * @param id the id of the server
+	 * @return the server, empty if it is not in the table
 	 */
 	public Optional<BackendServer> find(String id) {
 		return Optional.ofNullable(this.rows.get(id)).map((row) -> row.server);
 	}
 
 	/**
-	 * Whether a server is expected to go on.
-	 * @param server the start of the server
-	 * @return true while it is registered and does not leave
+	 * Returns whether a server is expected to stay available.
+	 * @param server the run of the server
+	 * @return true while it is registered and not leaving
 	 */
 	public boolean isExpected(Start server) {
 		return row(server).filter((row) -> row.dropAtNanos.isEmpty() && !row.server.leaving()).isPresent();
 	}
 
 	/**
-	 * All servers that are registered or may still register again.
+	 * Returns all servers that are registered or may still register again.
 	 * @return the servers
 	 */
 	public List<BackendServer> servers() {
@@ -357,7 +367,7 @@
 	}
 
 	/**
-	 * The servers of a service that are registered or may still register again.
+	 * Returns the servers of a service that are registered or may still register again.
 	 * @param service the service
 	 * @return the servers
 	 */
@@ -366,26 +376,26 @@
 	}
 
 	/**
-	 * The calls that run at some servers, of all processes.
-	 * @param which the servers
-	 * @return the calls
+	 * Returns the number of calls of all processes at the servers that match a predicate.
+	 * @param which selects the servers
+	 * @return the number of calls
 	 */
 	public int callsAt(Predicate<BackendServer> which) {
 		return this.rows.values().stream().filter((row) -> which.test(row.server)).mapToInt(BackendRow::load).sum();
 	}
 
 	/**
-	 * The calls that run at a service, of all processes.
+	 * Returns the number of calls of all processes at the servers of a service.
 	 * @param service the service
-	 * @return the calls
+	 * @return the number of calls
 	 */
 	public int callsOf(String service) {
 		return callsAt((server) -> server.service().equals(service));
 	}
 
 	/**
-	 * The servers that take new calls.
-	 * @return their starts
+	 * Returns the servers that are eligible for new calls.
+	 * @return the runs of the servers
 	 */
 	public Set<Start> takers() {
 		return this.rows.values()
@@ -395,7 +405,8 @@
 			.collect(Collectors.toUnmodifiableSet());
 	}
 
-	// Servers of a service that take new calls.
+	// The servers of a service that are eligible for new calls, without those already
+	// tried.
 	List<BackendRow> takers(String service, Collection<String> tried) {
 		List<BackendRow> takers = new ArrayList<>();
 		for (BackendRow row : this.rows.values()) {
@@ -406,8 +417,8 @@
 		return takers;
 	}
 
-	// Servers of a service that may have parts of prompts, whether they take calls or
-	// not.
+	// The servers of a service that may have segments cached, whether or not they accept
+	// new calls.
 	List<BackendRow> holders(String service) {
 		return this.rows.values()
 			.stream()
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendUse.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendUse.java
@@ -1,14 +1,14 @@
 package org.rosemaryfront.dispatch;
 
 /**
- * What one process has at a backend server.
+ * The use of a backend server by one process.
  *
- * @param calls its calls that wait or run there
- * @param unreadTokens the prompt tokens that the server still has to read for them
+ * @param calls the number of its calls that are waiting or running at the server
+ * @param unreadTokens the prompt tokens that the server still has to prefill for them
  */
 public record BackendUse(int calls, long unreadTokens) {
 
-	/** Nothing. */
+	/** No use. */
 	public static final BackendUse NONE = new BackendUse(0, 0);
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/Dispatcher.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/Dispatcher.java
@@ -19,28 +19,31 @@
  * Chooses the backend server of a call.
  *
  * <p>
- * Calls to models wait for the prompts that a server reads before theirs, so that the
- * server is chosen at which the first token of the call is expected first. It need not
- * read the shared parts that it has, and fetches those that another server has where that
- * takes less time than to read them. Processes tell one another which server read what;
- * with equal times, calls that share parts have a common order of servers.
+ * Calls to model services wait until the server has prefilled the prompts queued before
+ * theirs, so that the server with the lowest expected time to first token is chosen. A
+ * server does not prefill the prompt segments that it has cached, and transfers those
+ * cached at another server if that takes less time than prefilling them. Processes report
+ * to one another which segments each server has prefilled. If expected times are equal,
+ * calls with the same prompt prefix use the same order of servers.
  *
  * <p>
- * Other calls go to the least loaded server, their own zone first.
+ * Calls without a prompt go to the least loaded server. Among equally loaded servers,
+ * those in the availability zone of this process are preferred.
  */
 public final class Dispatcher {
 
 	/**
-	 * How long a process that started knows too little of what servers have read: in that
-	 * time it places, or hears of, most of the parts in use.
+	 * The warm-up time after the first prompt, in which the local record of cached
+	 * segments is incomplete. Within it the process places calls with most of the
+	 * segments in use or receives reports about them.
 	 */
 	private static final long IGNORANT_NANOS = TimeUnit.SECONDS.toNanos(10);
 
 	/**
-	 * How far over the target the expected first token may be, as a factor, for the most
-	 * urgent calls: beyond that a call would be late and make those behind it late too.
-	 * Less urgent calls give way earlier, so that a server that is short of capacity
-	 * never turns away an urgent call for one that is not.
+	 * The factor by which the expected time to first token may exceed the target for the
+	 * most urgent calls: beyond it the call would be late and delay the calls queued
+	 * after it. The factor is lower for less urgent calls, so that a server short of
+	 * capacity never rejects an urgent call in favour of a less urgent one.
 	 */
 	private static final double LATE_FACTOR = 1.8;
 
@@ -54,12 +57,12 @@
 
 	private final Map<String, FirstTokenModel> models = new HashMap<>();
 
-	/** When the first prompt was placed. */
+	/** When the first call with a prompt was dispatched. */
 	private OptionalLong firstPromptNanos = OptionalLong.empty();
 
 	/**
-	 * A dispatcher.
-	 * @param table the servers
+	 * Creates a dispatcher.
+	 * @param table the backend servers
 	 * @param zone the availability zone of this process
 	 */
 	public Dispatcher(BackendTable table, String zone) {
@@ -69,9 +72,9 @@
 
 	/**
 	 * Chooses a server.
-	 * @param wish what the call needs
-	 * @param tried servers that had the call before
-	 * @param nowNanos the time
+	 * @param wish the requirements of the call
+	 * @param tried ids of the servers to which the call was already sent
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the choice
 	 */
 	public Choice choose(Wish wish, Collection<String> tried, long nowNanos) {
@@ -79,11 +82,11 @@
 	}
 
 	/**
-	 * Chooses one of the servers that a call may go to.
-	 * @param wish what the call needs
-	 * @param tried servers that had the call before
-	 * @param allowed whether the call may go to a server
-	 * @param nowNanos the time
+	 * Chooses one of the servers to which a call may be sent.
+	 * @param wish the requirements of the call
+	 * @param tried ids of the servers to which the call was already sent
+	 * @param allowed whether the call may be sent to a server
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the choice
 	 */
 	public Choice choose(Wish wish, Collection<String> tried, Predicate<BackendServer> allowed, long nowNanos) {
@@ -131,8 +134,8 @@
 				chosen.fetchFrom.map((row) -> row.server), Optional.of(chosen.work));
 	}
 
-	// Who has most of the shared parts of a prompt; servers that leave have theirs until
-	// they are gone.
+	// The server with the most tokens of the prompt prefix cached. A leaving server
+	// keeps its cache until it is terminated.
 	private Optional<Holder> holder(Wish wish, long nowNanos) {
 		List<BackendRow> rows = this.table.holders(wish.service())
 			.stream()
@@ -147,10 +150,11 @@
 		return most.isPresent() ? most : presumed(wish, rows, nowNanos);
 	}
 
-	// A process that was just restarted knows of no part. Servers that ran before it are
-	// taken to have theirs by the common order: taken as empty, they seemed to have every
-	// prompt to read anew, and 200 calls were refused for that in the two seconds behind
-	// a kill of all processes.
+	// A restarted process has no record of cached segments. During the warm-up time,
+	// servers that were already registered are therefore assumed to have cached the
+	// prefixes for which they come first in the common order: with empty caches assumed,
+	// every prompt seemed to need a full prefill, and 200 calls were rejected within two
+	// seconds after all processes had been killed.
 	private Optional<Holder> presumed(Wish wish, List<BackendRow> rows, long nowNanos) {
 		boolean ignorant = nowNanos - this.firstPromptNanos.getAsLong() < IGNORANT_NANOS;
 		return rows.stream()
@@ -174,7 +178,7 @@
 	}
 
 	/**
-	 * What is learned of the servers of a service.
+	 * Returns the model of the time to first token of a service.
 	 * @param service the service
 	 * @return the model, shared by all calls
 	 */
@@ -183,7 +187,7 @@
 	}
 
 	/**
-	 * The services of which something is learned.
+	 * Returns the models of all services that have one.
 	 * @return the models by service
 	 */
 	public Map<String, FirstTokenModel> models() {
@@ -195,28 +199,28 @@
 	}
 
 	/**
-	 * What a call needs.
+	 * The requirements of a call.
 	 *
 	 * @param service the service
-	 * @param shared the parts of its prompt that it shares with other calls
-	 * @param engine the engines of the service, empty when it has none
-	 * @param ownTokens the tokens of its prompt that no other call has; 0 for a call that
-	 * has no prompt
-	 * @param targetMillis the time that is left until its first token should come
-	 * @param priority its rank, 0 for the most urgent
+	 * @param shared the prompt prefix that it shares with other calls
+	 * @param engine the engine parameters of the service, empty if it has none
+	 * @param ownTokens the prompt tokens that no other call has in common; 0 for a call
+	 * without a prompt
+	 * @param targetMillis the time left until the first token is due, in milliseconds
+	 * @param priority its priority, 0 for the most urgent
 	 */
 	public record Wish(String service, SharedParts shared, Optional<EngineSpec> engine, int ownTokens,
 			long targetMillis, int priority) {
 
 		/**
-		 * The time that is left until a call's first token should come. A call that has
-		 * run is not refused for being late: its caller has the beginning of its answer,
-		 * or nobody may promise that it did not run, so that all of its time is left.
-		 * Held to the target of a first token, no stream went on at another server once
-		 * its own had run for longer than that.
-		 * @param targetMillis the target less the call's age, in milliseconds
-		 * @param remainingMillis what is left of the call's time, in milliseconds
-		 * @param ran whether a server may have run it
+		 * Returns the time left until the first token of a call is due. A call that may
+		 * already have run is not rejected for missing the target, because its caller has
+		 * received part of the response or the call may have been executed, so that all
+		 * of its remaining time counts. With the first-token target applied, no stream
+		 * could be resumed at another server once it had run for longer than the target.
+		 * @param targetMillis the target less the age of the call, in milliseconds
+		 * @param remainingMillis the time left until the call times out, in milliseconds
+		 * @param ran whether a server may have run the call
 		 * @return the time in milliseconds, never negative
 		 */
 		public static long millisLeft(long targetMillis, long remainingMillis, boolean ran) {
@@ -229,36 +233,36 @@
 
 	}
 
-	/** What came of a choice. */
+	/** The result of a choice. */
 	public sealed interface Choice {
 
 		/**
-		 * A server takes the call.
+		 * A server was chosen.
 		 *
 		 * @param server the server
-		 * @param load its calls, of all processes
-		 * @param unreadTokens the prompt tokens that it has to read for the call
-		 * @param expectedMillis the time to the first token, 0 when it is not known
-		 * @param candidates the servers that were weighed
-		 * @param fetchFrom who has the shared parts that it lacks
-		 * @param work what it has to do until the first token, empty when that is not
-		 * known
+		 * @param load its number of calls, of all processes
+		 * @param unreadTokens the prompt tokens that it has to prefill for the call
+		 * @param expectedMillis the expected time to first token in milliseconds, 0 if
+		 * unknown
+		 * @param candidates the number of servers that were compared
+		 * @param fetchFrom the server from which missing segments are transferred, if any
+		 * @param work the work of the server until the first token, empty if unknown
 		 */
 		record Chosen(BackendServer server, int load, long unreadTokens, long expectedMillis, int candidates,
 				Optional<BackendServer> fetchFrom, Optional<Work> work) implements Choice {
 		}
 
 		/**
-		 * All servers are full.
+		 * All eligible servers are at capacity.
 		 *
-		 * @param servers the servers that would take calls if they had room
-		 * @param expectedMillis the time to the first token at the best of them, 0 when
-		 * none has a slot
+		 * @param servers the number of servers that accept calls but have no capacity
+		 * @param expectedMillis the expected time to first token at the best of them in
+		 * milliseconds, 0 if none has a free slot
 		 */
 		record Full(int servers, long expectedMillis) implements Choice {
 		}
 
-		/** No server takes calls. */
+		/** No server is eligible. */
 		record NoServer() implements Choice {
 		}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/FirstTokenModel.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/FirstTokenModel.java
@@ -4,39 +4,54 @@
 import java.util.List;
 
 /**
- * How long servers of a service take to the first token of a call, learned from calls.
+ * Predicts the time to first token of the servers of a service, fitted to measured calls.
  *
  * <p>
- * The time grows with the prompt tokens that the server has to read until then, with the
- * calls that run beside it, and with the pairs of tokens that a long prompt makes the
- * engine look at. The rates are those of a linear regression that forgets, with start
- * values that count as some calls.
+ * The time grows with the prompt tokens that the server has to prefill first, with the
+ * number of concurrent calls, and with the number of token pairs that attention covers
+ * for a long prompt. The coefficients come from a linear regression with exponential
+ * forgetting, whose initial coefficients count as a fixed number of calls.
  */
 public final class FirstTokenModel {
 
 	/**
-	 * Start values, cautious ones: what nothing is known of is slower than the engines
-	 * seen so far, which read 66 to 94 tokens in a millisecond and answer a short prompt
-	 * within 20 to 60.
+	 * Conservative initial coefficients: an unknown engine is assumed to be slower than
+	 * the engines measured so far, which prefill 66 to 94 tokens per millisecond and
+	 * respond to a short prompt within 20 to 60 ms.
 	 */
 	private static final double[] START = { 30, 1 / 60.0, 0.5, 0.5 };
 
-	/** How many calls the start values count as. */
+	/** The weight of the initial coefficients, as a number of calls. */
 	private static final double START_WEIGHT = 30;
 
-	/** What is usual of each cause, so that the start values weigh alike for all. */
+	/**
+	 * The typical value of each feature, used to give all initial coefficients equal
+	 * weight.
+	 */
 	private static final double[] USUAL = { 1, 4_000, 8, 10 };
 
-	/** What a call counts after one more has come: some 500 calls count. */
+	/**
+	 * The factor by which the weight of a call decays with each further call; about 500
+	 * calls are effective.
+	 */
 	private static final double KEPT = 0.998;
 
-	/** One call counts at most as so much slower, or faster, than expected. */
+	/**
+	 * The bound of a single measurement relative to the expected time, as a factor in
+	 * both directions.
+	 */
 	private static final double MOST = 4;
 
-	/** From so many calls on, what was learned is worth more than the start values. */
+	/**
+	 * The number of calls from which the fitted coefficients are preferred to those of
+	 * other processes.
+	 */
 	private static final int LEARNED_CALLS = 60;
 
-	/** No rate of a process that is sound is as great, in milliseconds. */
+	/**
+	 * The exclusive upper bound of a valid coefficient, in milliseconds per unit of its
+	 * feature.
+	 */
 	private static final double MOST_RATE = 10_000;
 
 	private static final int CAUSES = START.length;
@@ -52,15 +67,15 @@
 	private long calls;
 
 	/**
-	 * Learns from a call.
-	 * @param work what the server had to do until its first token
-	 * @param millis the time that it took, in milliseconds
+	 * Updates the model with a measured call.
+	 * @param work the work of the server until its first token
+	 * @param millis the measured time to first token, in milliseconds
 	 */
 	public void learn(Work work, double millis) {
 		double expected = expectedMillis(work);
 		double bounded = Math.clamp(millis, expected / MOST, expected * MOST);
 		double[] causes = work.causes();
-		// A time far off weighs by its size, not by its square.
+		// Reduces the influence of long times from quadratic to linear.
 		double weight = 1 / Math.max(1, expected);
 		for (int i = 0; i < CAUSES; i++) {
 			for (int j = 0; j < CAUSES; j++) {
@@ -73,8 +88,8 @@
 	}
 
 	/**
-	 * The time to expect.
-	 * @param work what the server has to do
+	 * Returns the expected time to first token.
+	 * @param work the work of the server
 	 * @return the time in milliseconds
 	 */
 	public double expectedMillis(Work work) {
@@ -87,30 +102,32 @@
 	}
 
 	/**
-	 * How fast servers read prompts beside their other work: a usual prompt's tokens over
-	 * the time that its tokens and pairs take. Of both together the calls tell more than
-	 * of either: by the tokens alone the speed learned from calm seconds swung between 37
-	 * and 158 tokens, where the engines read 66.
-	 * @return the tokens read in a millisecond
+	 * Returns the prefill rate of a server under load: the tokens of a typical prompt
+	 * divided by the time that its tokens and token pairs take. Both coefficients
+	 * together are more stable than either alone: from the token coefficient alone, the
+	 * rate fitted to periods of low load varied between 37 and 158 tokens per millisecond
+	 * for engines that prefill 66.
+	 * @return the tokens prefilled per millisecond
 	 */
 	public double tokensPerMilli() {
 		return USUAL[1] / (USUAL[1] * this.rates[1] + USUAL[3] * this.rates[3]);
 	}
 
-	// -- what processes tell one another
+	// -- exchange between processes
 
 	/**
-	 * What was learned, for a process that has not.
-	 * @return the rates, empty as long as they rest on few calls
+	 * Returns the fitted coefficients, to be reported to processes without enough
+	 * measurements.
+	 * @return the coefficients, empty while they rest on too few calls
 	 */
 	public List<Double> learned() {
 		return (this.calls < LEARNED_CALLS) ? List.of() : Arrays.stream(this.rates).boxed().toList();
 	}
 
 	/**
-	 * Takes what another process has learned in place of the start values, as long as
-	 * this one knows little itself.
-	 * @param learned the rates of the other process
+	 * Replaces the initial coefficients by those of another process, unless this process
+	 * has enough measurements of its own.
+	 * @param learned the coefficients of the other process
 	 */
 	public void adopt(List<Double> learned) {
 		boolean usable = learned.size() == CAUSES && learned.stream().allMatch((rate) -> rate > 0 && rate < MOST_RATE);
@@ -120,8 +137,8 @@
 		}
 	}
 
-	// The rates with the least squared error, drawn to the start values, and none below a
-	// tenth of its start value: nothing that a server does takes no time.
+	// The least-squares coefficients, regularised towards the initial ones. None is less
+	// than a tenth of its initial value, since no work takes zero time.
 	private double[] solved() {
 		double[][] left = new double[CAUSES][];
 		double[] right = this.sums.clone();
@@ -138,7 +155,8 @@
 		return solution;
 	}
 
-	// Gauss; the matrix is positive definite, since the start values are in its diagonal.
+	// Gaussian elimination without pivoting; the matrix is positive definite because the
+	// regularisation adds positive values to its diagonal.
 	private static double[] eliminate(double[][] left, double[] right) {
 		for (int pivot = 0; pivot < CAUSES; pivot++) {
 			for (int row = pivot + 1; row < CAUSES; row++) {
@@ -161,20 +179,21 @@
 	}
 
 	/**
-	 * What a server does until the first token of a call.
+	 * The work of a server until the first token of a call.
 	 *
-	 * @param tokens the prompt tokens that it reads, of the call and of those before it
-	 * @param calls the calls that run there
-	 * @param pairs the pairs of tokens that the call makes it look at, in millions
+	 * @param tokens the prompt tokens that it prefills, of the call and of those queued
+	 * before it
+	 * @param calls the number of calls running at the server
+	 * @param pairs the token pairs that attention covers for the call, in millions
 	 */
 	public record Work(double tokens, int calls, double pairs) {
 
 		/**
-		 * The work for a call.
-		 * @param ahead the prompt tokens of calls before it
-		 * @param unread the prompt tokens of its own that are to be read
-		 * @param prompt all tokens of its prompt
-		 * @param calls the calls that run there
+		 * Returns the work for a call.
+		 * @param ahead the prompt tokens to prefill for calls queued before it
+		 * @param unread the uncached prompt tokens of the call
+		 * @param prompt all prompt tokens of the call
+		 * @param calls the number of calls running at the server
 		 * @return the work
 		 */
 		public static Work of(long ahead, long unread, long prompt, int calls) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartCache.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartCache.java
@@ -7,14 +7,15 @@
 import org.rosemaryfront.dispatch.SharedParts.Part;
 
 /**
- * The shared parts that a server is taken to have in its cache, the ones used last.
+ * The most recently used prompt segments, which a server is assumed to have in its KV
+ * cache.
  */
 final class PartCache {
 
-	/** The part of an engine's memory that shared parts are taken to keep. */
+	/** The fraction of an engine's KV cache that is assumed to hold shared segments. */
 	private static final double SHARE = 0.5;
 
-	/** Parts known at most, whatever an engine's memory holds. */
+	/** The maximum number of segments, whatever the capacity of the engine. */
 	private static final int MOST_PARTS = 4_096;
 
 	private final LinkedHashMap<Long, Integer> parts = new LinkedHashMap<>(16, 0.75f, true);
@@ -22,10 +23,10 @@
 	private long tokens;
 
 	/**
-	 * Notes that the server has read a part.
-	 * @param part the part
-	 * @param memoryTokens what the server's memory holds, in tokens
-	 * @return whether it was not known
+	 * Records that the server has prefilled a segment.
+	 * @param part the segment
+	 * @param memoryTokens the capacity of the server's KV cache, in tokens
+	 * @return true if the segment was not recorded before
 	 */
 	boolean add(Part part, long memoryTokens) {
 		boolean known = this.parts.put(part.chain(), part.tokens()) != null;
@@ -45,9 +46,9 @@
 	}
 
 	/**
-	 * What of a chain the server need not read.
-	 * @param shared the chain
-	 * @return the tokens of its parts up to the first one that is not known
+	 * Returns how much of a prompt prefix is cached.
+	 * @param shared the prompt prefix
+	 * @return the number of tokens before the first segment that is not cached
 	 */
 	int held(SharedParts shared) {
 		int held = 0;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartNews.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartNews.java
@@ -9,12 +9,16 @@
 import org.rosemaryfront.dispatch.SharedParts.Part;
 
 /**
- * Which parts servers read of late, to be told to the other processes. Each is told
- * twice: a report may be lost, and what is not told is read a second time elsewhere.
+ * Collects the segments that servers recently prefilled, to be reported to the other
+ * processes. Each segment is reported twice: a report may be lost, and an unreported
+ * segment is prefilled again at another server.
  */
 final class PartNews {
 
-	/** Parts told at once; a report stays well below the size of a datagram. */
+	/**
+	 * The maximum number of new segments in a report, which keeps a report well below the
+	 * maximum size of a datagram.
+	 */
 	private static final int MOST = 48;
 
 	private List<Entry> told = List.of();
@@ -28,8 +32,8 @@
 	}
 
 	/**
-	 * What is to be told now.
-	 * @return the parts by server
+	 * Returns the segments for the next report.
+	 * @return the segments by server
 	 */
 	Map<Start, List<Part>> take() {
 		Map<Start, List<Part>> news = new HashMap<>();
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/RetryAllowance.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/RetryAllowance.java
@@ -7,23 +7,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How many calls this process may send a second time, by service.
+ * Limits the retries of this process, by service.
  *
  * <p>
- * Retries in a wave of failures double the load of servers that are short of capacity
- * already. All processes together may repeat a share of the calls in any window; each
- * keeps to that share of its own calls and to its part of the fixed allowance, so that
- * the sum holds without talking.
+ * Retries during a burst of failures double the load of servers that are already short of
+ * capacity. All processes together may retry a fraction of the calls in any window. Each
+ * process keeps to that fraction of its own calls and to its share of a fixed allowance,
+ * so that the total holds without coordination.
  */
 public final class RetryAllowance {
 
 	/**
-	 * How many parts the fixed allowance is cut into at the least: more than the small
-	 * deployments seen have processes, since some come while others still go.
+	 * The minimum number of shares of the fixed allowance: more than the number of
+	 * processes in the small deployments seen, because processes that start and processes
+	 * that stop overlap.
 	 */
 	private static final int LEAST_PARTS = 16;
 
-	/** Parts for each process that is known; some are not known yet. */
+	/**
+	 * Shares for each process in the local membership, which may not include all
+	 * processes yet.
+	 */
 	private static final double PARTS_PER_PROCESS = 1.7;
 
 	private final double share;
@@ -39,12 +43,13 @@
 	private final Map<String, Windows> services = new HashMap<>();
 
 	/**
-	 * An allowance.
-	 * @param share the retries allowed for each call
-	 * @param fixed the retries that all processes together may make in a window beside
-	 * the share
-	 * @param windowMillis the window, in milliseconds
-	 * @param startedNanos when the process started
+	 * Creates an allowance.
+	 * @param share the retries allowed per call
+	 * @param fixed the additional retries that all processes together may make in a
+	 * window
+	 * @param windowMillis the length of the window, in milliseconds
+	 * @param startedNanos when the process started, on the monotonic clock, in
+	 * nanoseconds
 	 */
 	public RetryAllowance(double share, double fixed, long windowMillis, long startedNanos) {
 		this.startedNanos = startedNanos;
@@ -54,28 +59,29 @@
 	}
 
 	/**
-	 * Takes how many processes share the fixed allowance. With sixteen parts for any
-	 * number, 87 processes would have made five times as many retries as allowed.
-	 * @param count the processes, this one included
+	 * Sets the number of processes that share the fixed allowance. With sixteen shares
+	 * for any number of processes, 87 processes would have made five times as many
+	 * retries as allowed.
+	 * @param count the number of processes, including this one
 	 */
 	public void processes(int count) {
 		this.parts = Math.max(LEAST_PARTS, (int) Math.ceil(count * PARTS_PER_PROCESS));
 	}
 
 	/**
-	 * Counts a first sending.
+	 * Counts a call that is sent for the first time.
 	 * @param service the service
-	 * @param nowNanos the time
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void first(String service, long nowNanos) {
 		windows(service, nowNanos).firsts.add(nowNanos);
 	}
 
 	/**
-	 * Takes a retry if the window allows one.
+	 * Counts a retry if the limit allows one.
 	 * @param service the service
-	 * @param nowNanos the time
-	 * @return whether the call may be sent again
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return true if the call may be sent again
 	 */
 	public boolean take(String service, long nowNanos) {
 		Windows windows = windows(service, nowNanos);
@@ -86,9 +92,10 @@
 		return allowed;
 	}
 
-	// Guards the sum over all processes against restarts: an earlier life of this process
-	// may have used the fixed part within the same window. Killed twice in a window, all
-	// processes together would use it three times.
+	// Keeps the total of all processes within the limit across restarts: the previous
+	// run of this process may have used its fixed share within the same window. If
+	// killed twice in a window, all processes together would use the fixed allowance
+	// three times.
 	private double fixed(long nowNanos) {
 		return (nowNanos - this.startedNanos >= this.windowNanos) ? this.fixed / this.parts : 0;
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/SharedParts.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/SharedParts.java
@@ -6,10 +6,11 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * The parts of a prompt that other calls have too, in order. An engine that has read a
- * part need not read it again, as long as it has all parts before it.
+ * The segments at the beginning of a prompt that other calls have in common, in order. An
+ * engine that has a segment cached does not prefill it again if it also has all preceding
+ * segments cached.
  *
- * @param parts the parts in order
+ * @param parts the segments in order
  */
 public record SharedParts(List<Part> parts) {
 
@@ -22,18 +23,18 @@
 	// -- factories
 
 	/**
-	 * No shared parts.
-	 * @return the empty chain
+	 * Returns the empty prompt prefix.
+	 * @return the empty prompt prefix
 	 */
 	public static SharedParts none() {
 		return NONE;
 	}
 
 	/**
-	 * A chain from the names of its parts.
+	 * Returns a prompt prefix from the names of its segments.
 	 * @param names the names in order
-	 * @param tokens the sizes in order
-	 * @return the chain
+	 * @param tokens the sizes in order, in tokens
+	 * @return the prompt prefix
 	 */
 	public static SharedParts of(List<String> names, List<Integer> tokens) {
 		List<Part> parts = new ArrayList<>();
@@ -48,26 +49,26 @@
 	// -- queries
 
 	/**
-	 * The size of all parts.
-	 * @return the tokens
+	 * Returns the total size of the segments.
+	 * @return the number of tokens
 	 */
 	public int tokens() {
 		return this.parts.stream().mapToInt(Part::tokens).sum();
 	}
 
 	/**
-	 * What calls with the same parts have in common.
-	 * @return the name of the whole chain, 0 when it is empty
+	 * Returns the hash that calls with the same segments have in common.
+	 * @return the hash of the whole prefix, 0 if it is empty
 	 */
 	public long name() {
 		return this.parts.isEmpty() ? 0 : this.parts.getLast().chain();
 	}
 
 	/**
-	 * A part with all that stands before it.
+	 * A segment, identified together with all segments before it.
 	 *
-	 * @param chain names the part and those before it
-	 * @param tokens the size of the part alone
+	 * @param chain the hash of the segment and all segments before it
+	 * @param tokens the number of tokens of this segment alone
 	 */
 	public record Part(long chain, int tokens) {
 	}
