--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/CallKind.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/CallKind.java
@@ -1,6 +1,6 @@
 package org.rosemaryfront.routes;
 
-/** What may be repeated of a call, and how its answer comes. */
+/** Whether a call may be retried and how its response is delivered. */
 public enum CallKind {
 
 	/** May run more than once. */
@@ -9,7 +9,7 @@
 	/** Runs at most once. */
 	NON_IDEMPOTENT,
 
-	/** Answers with a series of events; runs at most once unless it can be resumed. */
+	/** Responds with a stream of events; runs at most once unless it can be resumed. */
 	STREAMING
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/CallerLimits.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/CallerLimits.java
@@ -1,17 +1,18 @@
 package org.rosemaryfront.routes;
 
 /**
- * What a caller may send, and how long it may take.
+ * Limits on the requests and connections of callers.
  *
- * @param headerBytes the greatest size of a request's line and headers
- * @param bodyBytes the greatest size of a request's body
- * @param headerMillis the time for a request's headers, in milliseconds
- * @param idleMillis the time that a connection may stay without a request, in
+ * @param headerBytes the maximum size of the request line and headers, in bytes
+ * @param bodyBytes the maximum size of the request body, in bytes
+ * @param headerMillis the time limit for receiving the headers of a request, in
+ * milliseconds
+ * @param idleMillis the time after which a connection without a request is closed, in
  * milliseconds
  */
 public record CallerLimits(int headerBytes, long bodyBytes, long headerMillis, long idleMillis) {
 
-	/** In force while no configuration is known. */
+	/** The limits in force until a configuration is loaded. */
 	public static final CallerLimits INITIAL = new CallerLimits(16_384, 4_194_304, 3_000, 15_000);
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/Organisation.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/Organisation.java
@@ -4,15 +4,15 @@
 import java.util.OptionalInt;
 
 /**
- * An organisation with its keys and its quota.
+ * An organisation with the API keys of its callers and its quota.
  *
  * @param name the name
- * @param keys the keys of its callers
- * @param priority the rank of its calls, which goes before the route's
- * @param unitsPerSecond the quota, 0 for none; see {@code counts}
- * @param burst what may be used at once beside the rate
- * @param counts what the quota counts
- * @param plainTokens the tokens that a call without token counts stands for
+ * @param keys the API keys of its callers
+ * @param priority the priority of its calls, which overrides the priority of the route
+ * @param unitsPerSecond the quota in units per second, 0 for none; see {@code counts}
+ * @param burst the number of units that may be used in one burst in addition to the rate
+ * @param counts the unit of the quota
+ * @param plainTokens the number of tokens charged for a call without token counts
  */
 public record Organisation(String name, List<String> keys, OptionalInt priority, double unitsPerSecond, double burst,
 		Counts counts, int plainTokens) {
@@ -21,13 +21,13 @@
 		keys = List.copyOf(keys);
 	}
 
-	/** What a quota counts. */
+	/** The unit of a quota. */
 	public enum Counts {
 
 		/** Requests. */
 		REQUESTS,
 
-		/** Tokens of the prompt and the greatest number of answered tokens. */
+		/** The prompt tokens and the maximum number of response tokens. */
 		TOKENS
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/Route.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/Route.java
@@ -4,19 +4,19 @@
 import java.util.Objects;
 
 /**
- * Where the calls of a host and a path prefix go.
+ * Maps the calls of a host and a path prefix to services.
  *
  * @param name the name of the route
- * @param host the host that callers name
- * @param prefix the prefix of the path, with a slash at both ends
- * @param kind what may be repeated
- * @param timeoutMillis the longest time a call is kept waiting, in milliseconds
+ * @param host the host name in the request
+ * @param prefix the prefix of the path, which begins and ends with a slash
+ * @param kind whether calls may be retried and how they respond
+ * @param timeoutMillis the timeout of a call, in milliseconds
  * @param targetMillis the latency target, in milliseconds
- * @param priority the rank, 0 for the most urgent
+ * @param priority the priority, 0 for the most urgent
  * @param targets the services that share the calls, never empty
- * @param maxAttempts the greatest number of backend servers that one call is sent to
- * @param open whether callers need no key
- * @param resumable whether a stream may go on at another backend server
+ * @param maxAttempts the maximum number of backend servers to which one call is sent
+ * @param open whether callers need no API key
+ * @param resumable whether a stream may be resumed at another backend server
  */
 public record Route(String name, String host, String prefix, CallKind kind, long timeoutMillis, long targetMillis,
 		int priority, List<Target> targets, int maxAttempts, boolean open, boolean resumable) {
@@ -25,21 +25,21 @@
 		Objects.requireNonNull(kind, "kind is null");
 		targets = List.copyOf(targets);
 		if (targets.isEmpty()) {
-			throw new IllegalArgumentException("route " + name + " has no service");
+			throw new IllegalArgumentException("route " + name + " has no target service");
 		}
 	}
 
 	/**
-	 * Whether a call may run again although it may have run before.
-	 * @return true for idempotent calls, and for streams as long as they can be resumed
+	 * Returns whether a call that may have run may be sent again.
+	 * @return true for idempotent calls and for streams that can be resumed
 	 */
 	public boolean repeatable() {
 		return this.kind == CallKind.IDEMPOTENT || (this.kind == CallKind.STREAMING && this.resumable);
 	}
 
 	/**
-	 * The service for one call, in proportion to the weights.
-	 * @param draw a number from 0 to 1, 1 excluded
+	 * Selects the service for one call in proportion to the weights.
+	 * @param draw a random number from 0 (inclusive) to 1 (exclusive)
 	 * @return the name of the service
 	 */
 	public String service(double draw) {
@@ -55,10 +55,10 @@
 	}
 
 	/**
-	 * A service with its share of a route.
+	 * A service with its weight in a route.
 	 *
 	 * @param service the name of the service
-	 * @param weight the share, against the sum of all shares of the route
+	 * @param weight the weight, relative to the sum of all weights of the route
 	 */
 	public record Target(String service, double weight) {
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/ServiceSpec.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/ServiceSpec.java
@@ -4,37 +4,39 @@
 import java.util.Optional;
 
 /**
- * A service as the configuration declares it.
+ * A service as declared in the configuration.
  *
  * @param name the name
- * @param maxConnections the connections that one of its backend servers takes from all
- * callers together
- * @param engine what its model engines hold, empty for plain services
- * @param scaling the bounds of its size, empty where its size is not ours to choose
+ * @param maxConnections the maximum number of connections that one of its backend servers
+ * accepts from all callers together
+ * @param engine the parameters of its model engines, empty for services without a model
+ * @param scaling the bounds of its size, empty if its size is not managed here
  */
 public record ServiceSpec(String name, int maxConnections, Optional<EngineSpec> engine, Optional<ScalingSpec> scaling) {
 
 	/**
-	 * The size of a model engine.
+	 * The parameters of a model engine.
 	 *
-	 * @param slots the requests that it runs at once
-	 * @param kvTokens the tokens that its memory holds
-	 * @param tokenBytes what a token takes in it, in bytes; 0 when it is not told
-	 * @param linkMegabits what it sends to another engine in a second, in megabits; 0
-	 * when it is not told
+	 * @param slots the maximum number of requests that it runs concurrently
+	 * @param kvTokens the capacity of its KV cache, in tokens
+	 * @param tokenBytes the size of a token in the KV cache, in bytes; 0 if unknown
+	 * @param linkMegabits the transfer rate to another engine, in megabits per second; 0
+	 * if unknown
 	 */
 	public record EngineSpec(int slots, long kvTokens, long tokenBytes, double linkMegabits) {
 
 		/**
-		 * The least time that fetching from another engine takes, in milliseconds: a few
-		 * round trips between availability zones; a choice.
+		 * The minimum duration of a transfer from another engine, in milliseconds: a few
+		 * round trips between availability zones.
 		 */
 		private static final double FETCH_SETUP_MILLIS = 5;
 
 		/**
-		 * How long tokens take from the memory of one engine to that of another.
-		 * @param tokens the tokens
-		 * @return the time in milliseconds, infinite when engines cannot do that
+		 * Returns how long the transfer of KV cache entries from one engine to another
+		 * takes.
+		 * @param tokens the number of tokens
+		 * @return the time in milliseconds, infinite if the engines do not support
+		 * transfers
 		 */
 		public double fetchMillis(long tokens) {
 			boolean able = this.tokenBytes > 0 && this.linkMegabits > 0;
@@ -45,13 +47,14 @@
 	}
 
 	/**
-	 * The bounds of a service's size, for each availability zone.
+	 * The bounds of the size of a service in each availability zone, and its prices.
 	 *
-	 * @param min the fewest backend servers of a zone
-	 * @param max the most backend servers of a zone
+	 * @param min the minimum number of backend servers in a zone
+	 * @param max the maximum number of backend servers in a zone
 	 * @param bootMillis the time from an order to the first call served, in milliseconds
-	 * @param reclaimablePrice what a reclaimable VM costs, as a share of an on-demand one
-	 * @param zonePrices the price of an on-demand VM for a second, by zone
+	 * @param reclaimablePrice the price of a reclaimable VM as a fraction of the price of
+	 * an on-demand VM
+	 * @param zonePrices the price of an on-demand VM per second, by zone
 	 */
 	public record ScalingSpec(int min, int max, long bootMillis, double reclaimablePrice,
 			Map<String, Double> zonePrices) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/TrafficConfiguration.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/TrafficConfiguration.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 
 /**
- * One version of what operators declare about traffic; immutable.
+ * One version of the traffic configuration declared by operators; immutable.
  *
  * <pre>
  * configuration.route("quotes.example", "/draft/x").map(Route::name);
@@ -47,14 +47,15 @@
 	// -- factories
 
 	/**
-	 * A configuration.
-	 * @param version the version, which only grows
+	 * Creates a configuration.
+	 * @param version the version, which increases with each change
 	 * @param routes the routes
 	 * @param services the services
-	 * @param organisations the organisations, empty when callers need no keys
-	 * @param limits what callers may send
+	 * @param organisations the organisations, empty if callers need no keys
+	 * @param limits the limits for callers
 	 * @return the configuration
-	 * @throws IllegalArgumentException when a route names a service that is not declared
+	 * @throws IllegalArgumentException if a route refers to a service that is not
+	 * declared
 	 */
 	public static TrafficConfiguration of(long version, List<Route> routes, List<ServiceSpec> services,
 			List<Organisation> organisations, CallerLimits limits) {
@@ -64,18 +65,19 @@
 	// -- queries
 
 	/**
-	 * The version.
-	 * @return the number that operators gave it
+	 * Returns the version assigned by the operators.
+	 * @return the version
 	 */
 	public long version() {
 		return this.version;
 	}
 
 	/**
-	 * The route of a call: of those of its host, the one with the longest prefix.
-	 * @param host the host that the caller named
+	 * Returns the route of a call: the route of its host with the longest matching
+	 * prefix.
+	 * @param host the host name in the request
 	 * @param path the path without the query
-	 * @return the route, empty when none matches
+	 * @return the route, empty if none matches
 	 */
 	public Optional<Route> route(String host, String path) {
 		for (Route route : this.routesByHost.getOrDefault(host, List.of())) {
@@ -87,41 +89,41 @@
 	}
 
 	/**
-	 * The organisation that holds a key.
-	 * @param key the key
-	 * @return the organisation, empty when nobody holds it
+	 * Returns the organisation to which an API key belongs.
+	 * @param key the API key
+	 * @return the organisation, empty if the key is unknown
 	 */
 	public Optional<Organisation> organisation(String key) {
 		return Optional.ofNullable(this.organisationsByKey.get(key));
 	}
 
 	/**
-	 * All organisations.
-	 * @return the organisations, empty when callers need no keys
+	 * Returns all organisations.
+	 * @return the organisations, empty if callers need no keys
 	 */
 	public List<Organisation> organisations() {
 		return this.organisations;
 	}
 
 	/**
-	 * A service.
-	 * @param name its name
-	 * @return the service, empty when it is not declared
+	 * Returns a service by its name.
+	 * @param name the name of the service
+	 * @return the service, empty if it is not declared
 	 */
 	public Optional<ServiceSpec> service(String name) {
 		return Optional.ofNullable(this.services.get(name));
 	}
 
 	/**
-	 * All services.
-	 * @return the services, in no order
+	 * Returns all services.
+	 * @return the services, in no particular order
 	 */
 	public List<ServiceSpec> services() {
 		return List.copyOf(this.services.values());
 	}
 
 	/**
-	 * What callers may send.
+	 * Returns the limits for callers.
 	 * @return the limits
 	 */
 	public CallerLimits limits() {
@@ -132,8 +134,8 @@
 		for (Route route : routes) {
 			for (Route.Target target : route.targets()) {
 				if (!this.services.containsKey(target.service())) {
-					throw new IllegalArgumentException(
-							"route " + route.name() + " names the service " + target.service() + ", which is missing");
+					throw new IllegalArgumentException("route " + route.name() + " refers to service "
+							+ target.service() + ", which is not declared");
 				}
 			}
 		}
