--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/HeardUsage.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/HeardUsage.java
@@ -8,17 +8,18 @@
 import java.util.TreeMap;
 
 /**
- * What other processes told of their counts, for those whose rows are not in the store
- * when a window is added up.
+ * The call counts received from other processes, for those processes whose rows are not
+ * in the store when the usage of a window is summed.
  *
  * <p>
- * A process writes its row when a window is over. One that is killed before that never
- * does, and one that the store turns away does so too late: with one of nine missing, the
- * report is off by more than it may. Each tells the counts of the window under way
- * several times a second, and hands over the rows that it could not write.
+ * A process writes its row when a window is over. A process that is killed before that
+ * never writes it, and a process whose writes the store rejects writes it too late: with
+ * one of nine processes missing, the error of the usage report exceeds the permitted one.
+ * Each process therefore sends the counts of the current window several times a second,
+ * and sends the rows that it could not write.
  *
  * <p>
- * The names of rows begin with that of their process and a slash.
+ * The name of a row begins with the name of its process followed by a slash.
  */
 public final class HeardUsage {
 
@@ -27,28 +28,28 @@
 	// -- changes
 
 	/**
-	 * Takes the counts so far of a window under way.
-	 * @param window the window
-	 * @param process the start of a process that told them
-	 * @param counts the calls by organisation
+	 * Records the counts so far of the current window of a process.
+	 * @param window the index of the window
+	 * @param process the run of a process that sent the counts
+	 * @param counts the number of calls by organisation
 	 */
 	public void underWay(long window, String process, Map<String, Long> counts) {
 		heard(window).underWay.put(process, Map.copyOf(counts));
 	}
 
 	/**
-	 * Takes a row that its process could not write yet.
-	 * @param window the window
+	 * Records a row that its process has not been able to write yet.
+	 * @param window the index of the window
 	 * @param row the name of the row
-	 * @param counts the calls by organisation
+	 * @param counts the number of calls by organisation
 	 */
 	public void unwritten(long window, String row, Map<String, Long> counts) {
 		heard(window).rows.put(row, Map.copyOf(counts));
 	}
 
 	/**
-	 * Forgets windows that no report can need any more.
-	 * @param window the oldest window to be kept
+	 * Removes windows that are no longer needed for a report.
+	 * @param window the index of the oldest window to retain
 	 */
 	public void forgetBefore(long window) {
 		this.windows.headMap(window).clear();
@@ -57,10 +58,10 @@
 	// -- queries
 
 	/**
-	 * What the store's rows lack.
-	 * @param window the window
-	 * @param stored the names of the rows that are in the store
-	 * @return the calls by organisation
+	 * Returns the counts that are missing from the rows in the store.
+	 * @param window the index of the window
+	 * @param stored the names of the rows in the store
+	 * @return the number of calls by organisation
 	 */
 	public Map<String, Long> missing(long window, Collection<String> stored) {
 		Map<String, Long> missing = new HashMap<>();
@@ -93,7 +94,7 @@
 		counts.forEach((name, count) -> sum.merge(name, count, Long::sum));
 	}
 
-	/** What was heard of one window. */
+	/** The counts received for one window. */
 	private static final class Heard {
 
 		private final Map<String, Map<String, Long>> underWay = new HashMap<>();
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/Size.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/Size.java
@@ -1,22 +1,23 @@
 package org.rosemaryfront.duties;
 
 /**
- * How many backend servers of one sort run in an availability zone.
+ * The number of backend servers in a pool.
  *
  * @param service the service
  * @param zone the availability zone
- * @param servers the backend servers
+ * @param servers the number of backend servers
  * @param reclaimable whether they run on reclaimable VMs
  */
 public record Size(String service, String zone, int servers, boolean reclaimable) {
 
-	// What the size is about, whatever the count.
+	// Returns the pool to which the size applies.
 	Sort sort() {
 		return new Sort(this.service, this.zone, this.reclaimable);
 	}
 
 	/**
-	 * Servers that are ordered together.
+	 * A pool: the backend servers of one service and one kind of VM in an availability
+	 * zone, which are ordered together.
 	 *
 	 * @param service the service
 	 * @param zone the availability zone
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizeOrders.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizeOrders.java
@@ -13,28 +13,32 @@
 import org.rosemaryfront.routes.ServiceSpec;
 
 /**
- * Which sizes to order now, from the plan, the servers present and what became of earlier
- * orders. Times are on the monotonic clock, in nanoseconds.
+ * Determines the pool sizes to order from the plan, the servers present and the results
+ * of earlier orders. Times are on the monotonic clock, in nanoseconds.
  *
  * <p>
- * Reclaimable VMs are ordered first. On-demand ones are given back only once the
- * reclaimable ones serve. While no reclaimable one is to be had in a zone, the service
- * falls back to on-demand ones for what it is short of, until they can be had again.
+ * Reclaimable VMs are ordered first. On-demand VMs are released only when the reclaimable
+ * ones accept calls. While no reclaimable VM is available in a zone, missing servers are
+ * replaced by on-demand VMs until reclaimable VMs are available again.
  */
 public final class SizeOrders {
 
-	/** How long an order may take to show before it is given again, beside the boot. */
+	/**
+	 * The time after the boot time within which an ordered server must appear before it
+	 * is ordered again.
+	 */
 	private static final long SHOW_NANOS = TimeUnit.SECONDS.toNanos(4);
 
-	/** The pause behind an order that failed, in nanoseconds. */
+	/** The delay before a failed order is repeated. */
 	private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	/**
-	 * The share of the need of late up to which the service falls back to on-demand VMs.
-	 * The need has room for peaks, and an on-demand VM costs some five times as much as a
-	 * reclaimable one: with all of the need the servers of two days with reclaims cost
-	 * 0.24 of what the days were worth, with this share 0.19, while what was served
-	 * stayed the same (0.896 and 0.894).
+	 * The fraction of the recently required capacity up to which missing servers are
+	 * replaced by on-demand VMs. The required capacity includes headroom for peaks, and
+	 * an on-demand VM costs about five times as much as a reclaimable one: with the whole
+	 * required capacity, the servers of two days with reclaims cost 0.24 of the value of
+	 * those days; with this fraction 0.19, while the part of the calls served stayed the
+	 * same (0.896 and 0.894).
 	 */
 	private static final double FALLBACK_SHARE = 0.7;
 
@@ -43,11 +47,12 @@
 	// -- orders
 
 	/**
-	 * The orders that bring a service to its plan. They count as given.
+	 * Returns the orders that bring a service to its planned size, and records them as
+	 * placed.
 	 * @param service the service
 	 * @param plan the plan
-	 * @param present the servers that take calls, by zone
-	 * @param nowNanos the time
+	 * @param present the servers that accept calls, by zone
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the orders
 	 */
 	public List<Size> next(ServiceSpec service, Plan plan, Map<String, ZoneSize> present, long nowNanos) {
@@ -66,9 +71,9 @@
 		return sizes;
 	}
 
-	// Guards against a plan that moves servers between zones or sorts in the middle of a
-	// wave: it gave a live server back while none of those that should stand in for it
-	// was to be had, and a third of the calls of two seconds were late.
+	// During a correlated reclaim, a plan that moves servers between zones or kinds of
+	// VM must not release running servers: a live server was released while none of its
+	// replacements was available, and a third of the calls of two seconds were late.
 	private static boolean isShort(Plan plan, Map<String, ZoneSize> present) {
 		return plan.zones()
 			.entrySet()
@@ -76,8 +81,9 @@
 			.anyMatch((zone) -> at(present, zone.getKey()).reclaimable() < zone.getValue().reclaimable());
 	}
 
-	// The on-demand servers beyond the plan: those that are there and cannot be spared
-	// yet, and in zones that are refused those that the service is short of.
+	// The on-demand servers beyond the plan: running ones that are still needed to
+	// replace missing reclaimable servers, and new ones in zones without available
+	// reclaimable VMs.
 	private Fallback fallback(ServiceSpec service, Plan plan, Map<String, ZoneSize> present) {
 		Fallback fallback = new Fallback();
 		plan.zones().forEach((zone, planned) -> {
@@ -89,8 +95,9 @@
 		});
 		int sure = all(present) - atRisk(service, plan, present);
 		int shortOf = Math.max(0, (int) Math.ceil(plan.needOfLate() * FALLBACK_SHARE) - sure);
-		// Those that boot stay where they are: cancelled in favour of a zone that is
-		// refused later, others would have to boot anew.
+		// Servers that are booting stay in their zone: if they were cancelled in favour
+		// of a zone refused later, their replacements would have to boot from the
+		// beginning.
 		for (Map.Entry<String, ZoneSize> planned : plan.zones().entrySet()) {
 			String zone = planned.getKey();
 			int booting = lastOrdered(service, zone) - planned.getValue().lasting() - fallback.servers(zone);
@@ -102,11 +109,11 @@
 		return fallback;
 	}
 
-	// Guards against waves: reclaims go from zone to zone, some five seconds apart, while
-	// nowhere another reclaimable VM is to be had. Ordered with the third zone's notice,
-	// on-demand ones come when it is gone, and one server was left of seven for five
-	// seconds. Once a zone is refused, the reclaimable servers of the largest one are not
-	// counted on any more.
+	// A correlated reclaim goes from zone to zone about five seconds apart, while no
+	// other reclaimable VM is available. On-demand VMs ordered upon the notice of the
+	// third zone are ready only after that zone is terminated, and one of seven servers
+	// was left for five seconds. Once a zone is refused, the reclaimable servers of the
+	// largest zone are therefore not counted as capacity.
 	private int atRisk(ServiceSpec service, Plan plan, Map<String, ZoneSize> present) {
 		boolean refused = plan.zones()
 			.keySet()
@@ -125,12 +132,12 @@
 	}
 
 	/**
-	 * The order of one sort of servers, if one is due. It counts as given.
+	 * Returns the order for one pool if one is due, and records it as placed.
 	 * @param service the service
-	 * @param size the size wanted
-	 * @param present the servers of that sort that take calls
-	 * @param nowNanos the time
-	 * @return the order, empty when it is in force or under way
+	 * @param size the required size
+	 * @param present the number of servers in the pool that accept calls
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the order, empty if the size is already in force or ordered
 	 */
 	public Optional<Size> order(ServiceSpec service, Size size, int present, long nowNanos) {
 		Placed last = this.orders.get(size.sort());
@@ -152,10 +159,10 @@
 		return Optional.of(size);
 	}
 
-	// -- what became of them
+	// -- results of orders
 
 	/**
-	 * An order was taken.
+	 * Records that an order was accepted.
 	 * @param size the order
 	 */
 	public void taken(Size size) {
@@ -163,10 +170,11 @@
 	}
 
 	/**
-	 * An order failed; it is given again after a pause.
+	 * Records that an order failed; it is repeated after a delay.
 	 * @param size the order
-	 * @param noneAvailable whether it failed because no VM of its sort is to be had
-	 * @param nowNanos the time
+	 * @param noneAvailable whether it failed because no VM of the pool's kind was
+	 * available
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void failed(Size size, boolean noneAvailable, long nowNanos) {
 		placed(size).ifPresent((order) -> {
@@ -176,9 +184,9 @@
 		});
 	}
 
-	// Guards against fallback servers that never come: an order that is given again is
-	// open until it is answered. Taken as good meanwhile, it cancelled the fallback each
-	// second, which boots for four.
+	// A repeated order is pending until its result arrives and keeps the refusal of the
+	// previous one. If a pending order counted as accepted, it would cancel the fallback
+	// servers every second, although they need four seconds to boot.
 	private boolean isRefused(Size size) {
 		Placed order = this.orders.get(size.sort());
 		return order != null && order.refused;
@@ -196,7 +204,7 @@
 		return present.values().stream().mapToInt(ZoneSize::servers).sum();
 	}
 
-	/** On-demand servers beyond the plan, by zone, and how many more there may be. */
+	/** On-demand servers beyond the plan by zone, and how many more may be added. */
 	private static final class Fallback {
 
 		private final Map<String, Integer> servers = new HashMap<>();
@@ -212,7 +220,8 @@
 			return this.servers.getOrDefault(zone, 0);
 		}
 
-		// Adds as many servers as there is room for, and tells how many.
+		// Adds as many servers as the remaining limit of the zone allows and returns
+		// their number.
 		private int add(String zone, int wanted) {
 			int added = Math.min(wanted, this.room.get(zone));
 			this.servers.merge(zone, added, Integer::sum);
@@ -222,7 +231,7 @@
 
 	}
 
-	/** The last order of a sort. */
+	/** The last order of a pool. */
 	private static final class Placed {
 
 		private final Size size;
@@ -231,12 +240,12 @@
 
 		private long notBeforeNanos;
 
-		/** Whether no VM of the sort was to be had when it was last asked for. */
+		/** Whether no VM of the pool's kind was available when it was last ordered. */
 		private boolean refused;
 
 		private boolean failed;
 
-		/** The most servers that were there since it was given. */
+		/** The maximum number of servers present since the order was placed. */
 		private int most;
 
 		private Placed(Size size, long nowNanos, boolean refused) {
@@ -250,8 +259,8 @@
 			this.most = Math.max(this.most, present);
 		}
 
-		// Servers that were there and are not any more were reclaimed: waiting for them
-		// as for servers that boot would lose the seconds of notice.
+		// Servers that were present and no longer are have been reclaimed. Waiting for
+		// them as for booting servers would waste the notice period of a few seconds.
 		private boolean isDue(int present, long nowNanos, long mostNanos) {
 			boolean fewer = present < this.most;
 			return this.failed || fewer || nowNanos - this.atNanos >= mostNanos;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizePlan.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizePlan.java
@@ -11,87 +11,101 @@
 import org.rosemaryfront.routes.ServiceSpec;
 
 /**
- * How many backend servers a service needs in each availability zone.
+ * Plans the number of backend servers of a service in each availability zone.
  *
  * <p>
- * Servers are billed by the second, whether they work or not, and are the largest price
- * of a calm day. The need follows the prompt tokens read and the calls running, and is
- * spread so that the zones that remain carry it when one is reclaimed as a whole while
- * nowhere another VM is to be had.
+ * Servers are billed by the second, whether busy or idle, and are the largest cost of a
+ * day without incidents. The required capacity follows from the prompt tokens prefilled
+ * and the calls running. It is distributed so that the remaining zones provide it when
+ * all reclaimable VMs of one zone are reclaimed while no other VM is available.
  */
 public final class SizePlan {
 
 	/**
-	 * The share of an engine's reading time that is planned to be used. Prompts differ by
-	 * a factor of a hundred; a queue of such at 0.65 waits about twice the time that it
-	 * takes to read one, well within the targets seen.
+	 * The planned utilisation of an engine's prefill time. Prompt lengths differ by a
+	 * factor of a hundred; at a utilisation of 0.65 the waiting time in the queue is
+	 * about twice the prefill time, well within the latency targets seen.
 	 */
 	private static final double READING_SHARE = 0.65;
 
-	/** The share of an engine's slots that is planned to be used. */
+	/** The planned utilisation of an engine's slots. */
 	private static final double SLOT_SHARE = 0.4;
 
 	/**
-	 * The share of the first size that is taken as needed until traffic shows the need.
+	 * The fraction of the initial number of servers that is assumed to be required until
+	 * traffic shows the actual requirement.
 	 */
 	private static final double FIRST_SHARE = 0.6;
 
-	/** How long that is; traffic begins some time after the processes. */
+	/**
+	 * How long the initial requirement applies; traffic begins some time after the
+	 * processes start.
+	 */
 	private static final long FIRST_NANOS = TimeUnit.SECONDS.toNanos(30);
 
 	/**
-	 * How long the greatest need of late is kept. Shorter than that and a wave of traffic
-	 * gives servers back that it needs again half a minute later, with cold caches.
+	 * How long a peak of the required capacity is retained. With a shorter retention,
+	 * servers released after a traffic peak are needed again half a minute later and
+	 * start with cold caches.
 	 */
 	private static final long PEAK_NANOS = TimeUnit.SECONDS.toNanos(25);
 
-	/** What of the need's peaks is still there when an order is carried out. */
+	/**
+	 * The age up to which peaks of the required capacity still count when an order is
+	 * carried out.
+	 */
 	private static final long LATE_NANOS = TimeUnit.SECONDS.toNanos(6);
 
 	/**
-	 * The part of the need that the servers of a single zone carry beside the lasting
-	 * ones: engines are then busy 0.83 of the time in place of half of it, for as long as
-	 * waves take two zones, some ten seconds. With a lasting server in place of each
-	 * spare, days with two waves cost the same and were short of servers in both.
+	 * The fraction of the required capacity that the reclaimable servers of a single zone
+	 * provide together with the on-demand ones. Engines are then busy 0.83 of the time
+	 * instead of half of it, while two zones are reclaimed, which lasts about ten
+	 * seconds. With an on-demand server instead of each spare reclaimable one, days with
+	 * two correlated reclaims cost the same and were short of servers in both.
 	 */
 	private static final double LAST_ZONE_SHARE = 0.6;
 
 	/**
-	 * The share of the need beyond {@link #LOSABLE} that runs on VMs that cannot be
-	 * reclaimed. Reclaims come in waves, zone after zone while nowhere another VM is to
-	 * be had: without such a share one wave takes every server of the service. On a calm
-	 * day with four reclaims a share of 0.65 instead of 0.4 brought 0.92 of the benefit
-	 * in place of 0.79.
+	 * The fraction of the required capacity beyond {@link #LOSABLE} that runs on
+	 * on-demand VMs. Reclaims are correlated and go from zone to zone while no other VM
+	 * is available: without on-demand VMs a single one takes every server of the service.
+	 * On a day with four reclaims and otherwise low load, a fraction of 0.65 instead of
+	 * 0.4 raised the benefit from 0.79 to 0.92.
 	 */
 	private static final double LASTING_SHARE = 0.65;
 
 	/**
-	 * The lasting servers of the smallest service: with none, a wave through all zones
-	 * left nobody to serve models for 16 s of a day, and no order could be carried out.
+	 * The minimum number of on-demand servers of a service. Without any, a correlated
+	 * reclaim of all zones left no server for models for 16 s of a day, and no order
+	 * could be carried out.
 	 */
 	private static final int LASTING_LEAST = 1;
 
 	/**
-	 * The part of the need, in servers, that is never on lasting VMs: rounding to whole
-	 * servers in each zone gives a small pool about that much more than it needs.
+	 * The part of the required capacity, in servers, that is never on on-demand VMs:
+	 * rounding up to whole servers in each zone gives a small service about this much
+	 * spare capacity.
 	 */
 	private static final double LOSABLE = 1.5;
 
 	private final Deque<Need> recent = new ArrayDeque<>();
 
-	/** Taken as needed until traffic shows the need; grows as servers register. */
+	/**
+	 * The initial required capacity until traffic shows the actual one; grows as servers
+	 * register.
+	 */
 	private double firstNeed;
 
-	/** Until when that is; empty before the first plan. */
+	/** When the initial required capacity expires; empty before the first plan. */
 	private OptionalLong firstUntilNanos = OptionalLong.empty();
 
 	/**
-	 * Plans the size.
+	 * Plans the size of a service.
 	 * @param service the service
 	 * @param zones the availability zones, the cheapest first
-	 * @param demand what the service has to do
-	 * @param nowNanos the time
-	 * @return the need and the servers of each zone
+	 * @param demand the load of the service
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the required capacity and the servers in each zone
 	 */
 	public Plan plan(ServiceSpec service, List<String> zones, Demand demand, long nowNanos) {
 		ServiceSpec.ScalingSpec bounds = service.scaling().orElseThrow();
@@ -112,8 +126,8 @@
 		return new Plan(need, ofLate, sizes);
 	}
 
-	// Where a spare reclaimable server in every zone costs less than one server that
-	// lasts, spares are what carries the service through waves.
+	// If a spare reclaimable server in every zone costs less than one on-demand server,
+	// the service survives correlated reclaims with spare reclaimable servers.
 	private static boolean sparesAreCheap(ServiceSpec.ScalingSpec bounds, int zones) {
 		return bounds.reclaimablePrice() * zones < 1;
 	}
@@ -123,15 +137,16 @@
 		return sparesAreCheap(bounds, zones) ? LASTING_LEAST : Math.max(LASTING_LEAST, share);
 	}
 
-	// Enough for the need when one zone is lost, and for a part of it when all but one
-	// are.
+	// Enough for the required capacity when one zone is lost, and for a fraction of it
+	// when all zones but one are lost.
 	private static int eachZone(double need, int lasting, ServiceSpec.ScalingSpec bounds, int zones) {
 		int withoutOne = (int) Math.ceil((need - lasting) / Math.max(1, zones - 1));
 		int onlyOne = (int) Math.ceil(need * LAST_ZONE_SHARE - lasting);
 		return sparesAreCheap(bounds, zones) ? Math.max(withoutOne, onlyOne) : withoutOne;
 	}
 
-	// The greatest need within the time that an order takes to be carried out.
+	// The peak of the required capacity within the time that it takes to carry out an
+	// order.
 	private double needOfLate(double now, long nowNanos) {
 		return this.recent.stream()
 			.filter((need) -> nowNanos - need.atNanos() <= LATE_NANOS)
@@ -139,8 +154,9 @@
 			.reduce(now, Math::max);
 	}
 
-	// Nothing is known yet of what is to come: whoever set the first size knew more. The
-	// servers register one after the other, so that the first plan sees a part of them.
+	// Before there is traffic, the initial number of servers is the best available
+	// estimate. The servers register one after the other, so that the first plan sees
+	// only some of them.
 	private double first(Demand demand, long nowNanos) {
 		if (this.firstUntilNanos.isEmpty()) {
 			this.firstUntilNanos = OptionalLong.of(nowNanos + FIRST_NANOS);
@@ -164,33 +180,35 @@
 	}
 
 	/**
-	 * A plan.
+	 * A plan for one service.
 	 *
-	 * @param need the servers that the service needs to be in time, with its peaks
-	 * @param needOfLate the servers that it needed in the last seconds
-	 * @param zones the servers to have in each zone, with those for a zone that is lost
+	 * @param need the servers required to meet the latency targets, including recent
+	 * peaks
+	 * @param needOfLate the servers required in the last seconds
+	 * @param zones the planned servers of each zone, including those that replace a lost
+	 * zone
 	 */
 	public record Plan(double need, double needOfLate, Map<String, ZoneSize> zones) {
 	}
 
 	/**
-	 * What a service has to do.
+	 * The load of a service.
 	 *
-	 * @param tokensPerSecond the prompt tokens that its servers read in a second, without
-	 * those found in caches
-	 * @param serverTokensPerSecond the prompt tokens that one server reads in a second
-	 * beside its other work
-	 * @param running the calls running
-	 * @param lasting its servers that cannot be reclaimed
+	 * @param tokensPerSecond the prompt tokens that its servers prefill per second,
+	 * without tokens found in caches
+	 * @param serverTokensPerSecond the prompt tokens that one server prefills per second
+	 * in addition to its other work
+	 * @param running the number of running calls
+	 * @param lasting the number of its on-demand servers
 	 */
 	public record Demand(double tokensPerSecond, double serverTokensPerSecond, int running, int lasting) {
 	}
 
 	/**
-	 * The servers of a zone.
+	 * The number of servers in a zone.
 	 *
-	 * @param lasting those on VMs that cannot be reclaimed
-	 * @param reclaimable those on VMs that can
+	 * @param lasting the number of servers on on-demand VMs
+	 * @param reclaimable the number of servers on reclaimable VMs
 	 */
 	public record ZoneSize(int lasting, int reclaimable) {
 
@@ -198,8 +216,8 @@
 		public static final ZoneSize NONE = new ZoneSize(0, 0);
 
 		/**
-		 * The servers of both sorts.
-		 * @return the count
+		 * Returns the number of servers on both kinds of VM.
+		 * @return the number of servers
 		 */
 		public int servers() {
 			return this.lasting + this.reclaimable;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/UsageLedger.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/UsageLedger.java
@@ -7,13 +7,14 @@
 
 /**
  * Counts the calls that began to run, by organisation and by window of the wall clock.
- * Window k begins k times its length after the start of 1970.
+ * Window {@code k} begins {@code k} window lengths after the start of 1970.
  */
 public final class UsageLedger {
 
 	/**
-	 * How long after its end a window still takes counts, in milliseconds: an answer that
-	 * is under way on the traffic thread belongs to the window in which it began.
+	 * How long a window still accepts counts after its end, in milliseconds: a response
+	 * that is being processed on the traffic thread belongs to the window in which its
+	 * call began.
 	 */
 	private static final long SETTLE_MILLIS = 200;
 
@@ -22,7 +23,7 @@
 	private final TreeMap<Long, TreeMap<String, Long>> open = new TreeMap<>();
 
 	/**
-	 * A ledger without counts.
+	 * Creates an empty ledger.
 	 * @param windowMillis the length of a window, in milliseconds
 	 */
 	public UsageLedger(long windowMillis) {
@@ -32,7 +33,7 @@
 	/**
 	 * Counts a call.
 	 * @param organisation the organisation
-	 * @param epochMillis when the call began to run, on the wall clock
+	 * @param epochMillis when the call began to run, in milliseconds since 1970
 	 */
 	public void began(String organisation, long epochMillis) {
 		this.open.computeIfAbsent(epochMillis / this.windowMillis, (_) -> new TreeMap<>())
@@ -40,8 +41,8 @@
 	}
 
 	/**
-	 * The counts so far of the window under way.
-	 * @param epochMillis the time
+	 * Returns the counts so far of the current window.
+	 * @param epochMillis the current time, in milliseconds since 1970
 	 * @return the window
 	 */
 	public Window current(long epochMillis) {
@@ -50,8 +51,8 @@
 	}
 
 	/**
-	 * Takes out the windows that are over.
-	 * @param epochMillis the time
+	 * Removes and returns the windows that are over.
+	 * @param epochMillis the current time, in milliseconds since 1970
 	 * @return the windows that have counts, oldest first
 	 */
 	public List<Window> close(long epochMillis) {
@@ -65,7 +66,8 @@
 	}
 
 	/**
-	 * Takes out all windows, also the one that is not over; for the end of the process.
+	 * Removes and returns all windows, including the current one; called when the process
+	 * stops.
 	 * @return the windows that have counts, oldest first
 	 */
 	public List<Window> closeAll() {
@@ -78,8 +80,8 @@
 	/**
 	 * The counts of one window.
 	 *
-	 * @param index the number of the window
-	 * @param counts the calls by organisation
+	 * @param index the index of the window
+	 * @param counts the number of calls by organisation
 	 */
 	public record Window(long index, Map<String, Long> counts) {
 
