--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/BackendTableTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/BackendTableTests.java
@@ -14,8 +14,8 @@
 
 	private final BackendTable table = new BackendTable();
 
-	// Guards against a heartbeat that is written late: behind the word that the server
-	// leaves, it made the server one that takes calls again.
+	// A heartbeat that was written late, after the registration that marked the server
+	// as leaving, made the server eligible for calls again.
 	@ParameterizedTest
 	@CsvSource({ "5000, 6", "5000, 7", "4000, 9" })
 	void shouldNotTakeOlderRegistrationBehindTheWordThatServerLeaves(long startedMillis, long sequence) {
@@ -24,7 +24,7 @@
 		assertThat(this.table.takers()).isEmpty();
 	}
 
-	// Guards against the same where the registration ended in between.
+	// The same fault if the registration ended in between.
 	@Test
 	void shouldNotTakeOlderRegistrationOfServerThatWasDropped() {
 		this.table.registered(server(START, 7, true), 0);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/DispatcherTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/DispatcherTests.java
@@ -28,7 +28,7 @@
 
 	private static final long LONG_AGO = -TimeUnit.MINUTES.toNanos(5);
 
-	/** What an engine's memory holds, in tokens. */
+	/** The capacity of an engine's KV cache, in tokens. */
 	private static final long MEMORY = 700_000;
 
 	private final BackendTable table = new BackendTable();
@@ -42,10 +42,11 @@
 		}
 	}
 
-	// -- where prompts go
+	// -- placement of prompts
 
-	// Prompts of one subject are read again at every server they come to, until no
-	// subject stays in any cache: half of the pool's reading time is lost.
+	// If prompts with the same prefix are spread over the servers, each server prefills
+	// the prefix again until no prefix stays in any cache, and half of the prefill
+	// capacity is lost.
 	@Test
 	void shouldKeepPartAtOneServerWhenItHasRoom() {
 		Set<String> used = new HashSet<>();
@@ -58,8 +59,9 @@
 		assertThat(used).hasSize(1);
 	}
 
-	// A zone was lost and its subjects went to other servers. Looked for at the servers
-	// that have them by a common order, a third of them were read again at each call.
+	// After the loss of a zone its prefixes move to other servers. When the dispatcher
+	// assumed that servers cached them by the common order, a third of them were
+	// prefilled again at each call.
 	@Test
 	void shouldSendPartToServerThatReadItForAnotherProcess() {
 		for (String holder : List.of("s1", "s2", "s3")) {
@@ -69,8 +71,9 @@
 		}
 	}
 
-	// The server that has a subject is behind. Read again at another one, its parts cost
-	// that server 60 ms of engine time and those behind it wait; fetched, a few.
+	// The server that has a prefix cached has a long queue. Prefilling the prefix at
+	// another server takes 60 ms of engine time and delays the calls queued there; a
+	// transfer takes a few milliseconds.
 	@Test
 	void shouldFetchPartsFromServerThatIsBehind() {
 		this.table.reads(start("s1"), shared("part"), MEMORY);
@@ -81,8 +84,8 @@
 		assertThat(chosen.unreadTokens()).isEqualTo(800);
 	}
 
-	// A zone gets its notice: its servers take no calls any more, and what they have read
-	// is there for two seconds more.
+	// After the reclaim notice for a zone its servers accept no new calls, but their
+	// caches remain available for two more seconds.
 	@Test
 	void shouldFetchPartsFromServerThatLeaves() {
 		this.table.reads(start("s1"), shared("part"), MEMORY);
@@ -101,8 +104,8 @@
 		assertThat(chosen.unreadTokens()).isEqualTo(4_800);
 	}
 
-	// A part is of use only behind all parts before it: the same text behind another
-	// beginning is another thing to an engine.
+	// A cached segment can be reused only after the same preceding segments: the same
+	// text after another beginning has other KV cache entries.
 	@Test
 	void shouldCountPartsOnlyBehindTheSameBeginning() {
 		this.table.reads(start("s1"), SharedParts.of(List.of("a", "b"), List.of(1_000, 3_000)), MEMORY);
@@ -112,7 +115,7 @@
 		assertThat(choose(wish(longer, 800)).unreadTokens()).isEqualTo(3_800);
 	}
 
-	// An engine's memory holds so much; the parts used least of late yield.
+	// An engine's KV cache is limited; the least recently used segments are evicted.
 	@Test
 	void shouldForgetPartsBeyondMemory() {
 		for (int i = 0; i < 40; i++) {
@@ -130,7 +133,7 @@
 		assertThat(choose(wish(shared("part"), 800)).unreadTokens()).isEqualTo(4_800);
 	}
 
-	// Each part is told to the other processes with two reports: one of them may be lost.
+	// Each segment is reported to the other processes twice, since a report may be lost.
 	@Test
 	void shouldTellPartsTwice() {
 		this.table.reads(start("s1"), shared("part"), MEMORY);
@@ -140,9 +143,9 @@
 		assertThat(this.table.partsToTell()).isEmpty();
 	}
 
-	// All processes are killed and start again before servers that ran all the while.
-	// Taken as new, with every prompt to be read anew, they refused what was
-	// due.
+	// All processes are killed and restarted while the servers keep running. With empty
+	// caches assumed, every prompt seemed to need a full prefill and calls that were due
+	// were rejected.
 	@Test
 	void shouldTakeServersFoundAtStartAsWarm() {
 		BackendTable restarted = new BackendTable();
@@ -154,8 +157,8 @@
 		assertThat(new Dispatcher(scaledOut, "a").choose(wish, Set.of(), SECOND)).isInstanceOf(Choice.Full.class);
 	}
 
-	// One subject is asked for far more than others: its server would queue while others
-	// idle.
+	// One prefix is requested far more often than others: calls would queue at its
+	// server while other servers are idle.
 	@Test
 	void shouldSpreadPartWhenItsServerIsBehind() {
 		BackendServer first = chosen(prompt("part", 800));
@@ -190,11 +193,11 @@
 		assertThat(chosen(prompt("part", 2_000)).id()).isNotEqualTo(first.id());
 	}
 
-	// -- who is refused
+	// -- rejection of calls
 
-	// In overload calls were sent to servers that could only answer late, and made those
-	// behind them late too: nobody was in time. A call whose first token cannot come in
-	// time is refused at once, the less urgent ones first.
+	// Under overload, calls were sent to servers that could only respond late and
+	// delayed the calls queued after them, so that no call met its target. A call whose
+	// first token cannot be in time is rejected immediately, less urgent calls first.
 	@ParameterizedTest
 	@ValueSource(ints = { 0, 1, 2 })
 	void shouldRefuseLessUrgentCallsFirst(int priority) {
@@ -211,9 +214,9 @@
 		assertThat(taken.contains(priority)).isEqualTo(priority == 0);
 	}
 
-	// A server crashes two seconds into a stream that may go on elsewhere. Its first
-	// token was due long ago: refused for that, each such stream broke off in its
-	// caller's hands while other servers were idle.
+	// A server crashes two seconds into a stream that can be resumed at another server.
+	// The first token was due long before: when the call was rejected for that, the
+	// stream was broken off although other servers were idle.
 	@ParameterizedTest
 	@CsvSource({ "true, 2000", "false, 0" })
 	void shouldNotRefuseForItsAgeWhatHasRun(boolean ran, long millisLeft) {
@@ -239,7 +242,7 @@
 		assertThat(this.dispatcher.choose(plain(), Set.of("s1", "s2", "s3"), 0)).isEqualTo(new Choice.NoServer());
 	}
 
-	// -- plain calls
+	// -- calls without a prompt
 
 	@Test
 	void shouldPreferOwnZoneAmongEquallyLoaded() {
@@ -259,7 +262,7 @@
 		assertThat(used).hasSize(3);
 	}
 
-	// -- servers that go
+	// -- servers that leave or fail
 
 	@Test
 	void shouldSendNothingToServerThatLeaves() {
@@ -268,9 +271,9 @@
 		assertThat(chosen(plain()).id()).isEqualTo("s3");
 	}
 
-	// The store was away for some seconds and dropped the registrations of servers that
-	// live; they come back two seconds after it. Whoever takes them as gone at once has
-	// nobody to send calls to.
+	// The store is unavailable for some seconds and the registrations of live servers
+	// lapse; they register again two seconds after it recovers. If they are removed
+	// immediately, no server is left for calls.
 	@ParameterizedTest
 	@CsvSource({ "0, 1600", "500, 1600", "1000, 1200", "2200, 0", "9000, 0" })
 	void shouldKeepLapsedServerUntilItsTimeIsOver(long sinceReturnMillis, long keptMillis) {
@@ -294,8 +297,8 @@
 		assertThat(this.table.expire(9 * SECOND)).isEmpty();
 	}
 
-	// A server dies and its registration stays for seconds: calls go there one after the
-	// other and fail.
+	// The registration of a crashed server lapses only after some seconds; until then
+	// consecutive calls are sent to it and fail.
 	@Test
 	void shouldAvoidServerThatFailsInARowAndTryItAgainLater() {
 		String failing = chosen(plain()).id();
@@ -323,11 +326,11 @@
 		assertThat(this.dispatcher.choose(plain(), Set.of(), 0)).isInstanceOf(Choice.Chosen.class);
 	}
 
-	// -- servers that start again
+	// -- servers that restart
 
-	// A server crashes with all its slots taken and starts again under its id a second
-	// later. Its calls are gone, but were still counted: it got no new ones, and each
-	// caller was refused by a server that had nothing to do.
+	// A server crashes with all slots in use and restarts under its id a second later.
+	// The calls of its previous run were still counted: it got no new calls, and each
+	// caller was rejected although the server was idle.
 	@Test
 	void shouldTakeServerThatStartsAgainAsEmpty() {
 		for (String id : List.of("s1", "s2", "s3")) {
@@ -343,8 +346,8 @@
 		assertThat(chosen.load()).isZero();
 	}
 
-	// Calls of the earlier start end one after the other behind the new start. Counted as
-	// the new one's, they hide calls that it really runs and make it seem to fail.
+	// Calls of the previous run end after the new run has registered. If counted for the
+	// new run, they hide calls that it really executes and count as its failures.
 	@Test
 	void shouldKeepEndsOfEarlierStartFromTheNewOne() {
 		this.table.sent(start("s1"), 500);
@@ -359,10 +362,10 @@
 		assertThat(chosen.candidates()).isOne();
 	}
 
-	// -- registrations that cannot be read
+	// -- registrations that cannot be parsed
 
-	// Another writer spoils the registration of a server that was good before: it names
-	// no server to use until the server has written it again, and keeps its load.
+	// Another writer corrupts the registration of a valid server. The server gets no
+	// calls until it has written its registration again, and its load is retained.
 	@Test
 	void shouldSendNothingToServerWhoseRegistrationCannotBeRead() {
 		this.table.sent(start("s1"), 700);
@@ -374,8 +377,6 @@
 		assertThat(this.dispatcher.choose(plain(), Set.of("s2", "s3"), 0)).isInstanceOf(Choice.Chosen.class);
 	}
 
-	// -- helpers
-
 	private BackendServer chosen(Wish wish) {
 		return choose(wish).server();
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/FirstTokenModelTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/FirstTokenModelTests.java
@@ -17,9 +17,9 @@
 
 	private final FirstTokenModel model = new FirstTokenModel();
 
-	// A deployment comes with engines that nobody described. Placed and refused by the
-	// speed of others, calls went to servers that were behind, or were refused by idle
-	// ones.
+	// A deployment has engines with unknown parameters. With the parameters of other
+	// engines, calls were sent to servers with long queues or rejected although servers
+	// were idle.
 	@ParameterizedTest
 	@CsvSource({ "12, 66, 0.3, 0.28", "15, 20, 0.1, 0.5", "40, 180, 1.0, 0.05" })
 	void shouldLearnEnginesThatNobodyDescribed(double first, double tokensPerMilli, double perCall, double perPair) {
@@ -45,8 +45,8 @@
 		assertThat(this.model.learned()).isEmpty();
 	}
 
-	// One call is answered after a long pause of its server. It may not make every server
-	// of the service seem slow.
+	// One call is answered after a long process pause of its server. It must not make
+	// every server of the service appear slow.
 	@Test
 	void shouldBoundWhatOneOddCallCounts() {
 		teach(200, new Random(3), 66);
@@ -56,9 +56,9 @@
 		assertThat(this.model.expectedMillis(usual)).isLessThan(1.1 * before);
 	}
 
-	// Seconds with little to do tell the time that a prompt takes, but hardly whether its
-	// tokens or its pairs take it. A size planned by what each alone seems to take swings
-	// to half and to twice of what is needed.
+	// Under low load, measurements show the total prefill time of a prompt, but hardly
+	// whether tokens or token pairs cause it. A service size planned from either
+	// coefficient alone varies between half and twice the required one.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8, 9, 10 })
 	void shouldKnowSpeedFromFewCallsOfCalmSeconds(long seed) {
@@ -79,7 +79,8 @@
 		assertThat(this.model.tokensPerMilli()).isCloseTo(32, within(5.0));
 	}
 
-	// A process that was restarted hears from the others what they learned.
+	// A restarted process receives the coefficients that the other processes have
+	// fitted.
 	@Test
 	void shouldBeginWithWhatAnotherProcessLearned() {
 		teach(200, new Random(1), 20);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/RetryAllowanceTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/RetryAllowanceTests.java
@@ -12,11 +12,11 @@
 
 	private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
-	/** Long ago: whatever an earlier life used has left the window. */
+	/** A start so long ago that the retries of a previous run have left the window. */
 	private static final long STARTED = -60 * SECOND;
 
-	// All servers of a service fail: without a bound every call is sent twice, and the
-	// servers that come back get twice the load at once.
+	// All servers of a service fail: without a limit every call is sent twice, and
+	// servers that recover immediately get twice the load.
 	@ParameterizedTest
 	@CsvSource({ "0, 2", "10, 4", "100, 22" })
 	void shouldAllowShareOfCallsAndFixedPart(int calls, int retries) {
@@ -39,10 +39,10 @@
 		assertThat(allowance.take("booking", 10 * SECOND)).isTrue();
 	}
 
-	// Servers of a large deployment fail, and each of its gateways repeats its part of
-	// the fixed allowance. Cut into as many parts as a small deployment has gateways,
-	// the sum was five times what is allowed, and doubled the load of the servers that
-	// were left.
+	// Servers of a large deployment fail, and each gateway uses its share of the fixed
+	// allowance. With as many shares as a small deployment has gateways, the total was
+	// five times the allowed number of retries and doubled the load of the remaining
+	// servers.
 	@ParameterizedTest
 	@CsvSource({ "1", "9", "30", "87", "380" })
 	void shouldStayWithinFixedAllowanceHoweverManyProcesses(int processes) {
@@ -64,8 +64,8 @@
 		assertThat(allowance.take("llm", 0)).isTrue();
 	}
 
-	// All processes are killed again and again while servers fail. Each life took the
-	// fixed part anew, and together they repeated more calls than a window allows.
+	// All processes are killed repeatedly while servers fail. Each run used its fixed
+	// share again, and together they made more retries than a window allows.
 	@Test
 	void shouldStayWithinWindowOverRestarts() {
 		int repeated = 0;
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/HeardUsageTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/HeardUsageTests.java
@@ -11,8 +11,8 @@
 
 	private final HeardUsage heard = new HeardUsage();
 
-	// The report of a window lacks the calls of a process that was killed in it: it wrote
-	// no row, and nobody else knew of its calls.
+	// The usage report of a window lacked the calls of a process that was killed within
+	// it: the process wrote no row, and no other process had its counts.
 	@Test
 	void shouldCountProcessThatWasKilledBeforeItWroteItsRow() {
 		this.heard.underWay(7, "g1/a", Map.of("sfax", 3L));
@@ -28,7 +28,7 @@
 		assertThat(this.heard.missing(7, List.of("g1/a/1"))).isEmpty();
 	}
 
-	// The store turns a process away for longer than a report may wait.
+	// The store rejects the writes of a process for longer than a report may be delayed.
 	@Test
 	void shouldCountRowThatWasHandedOverInPlaceOfWhatWasToldBefore() {
 		this.heard.underWay(7, "g1/a", Map.of("sfax", 3L));
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ReclaimWaveTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ReclaimWaveTests.java
@@ -22,10 +22,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A wave of reclaims: all reclaimable servers of one zone after the other get two to
- * three seconds of notice, some seconds apart and in any order, and for twelve seconds
- * and more no reclaimable VM is to be had anywhere. VMs boot for four seconds. Time is
- * virtual.
+ * Simulates correlated reclaims: the reclaimable servers of one zone after the other get
+ * two to three seconds of notice, some seconds apart and in any order, and no reclaimable
+ * VM is available in any zone for twelve seconds or more. VMs take four seconds to boot.
+ * Time is virtual.
  */
 class ReclaimWaveTests {
 
@@ -35,7 +35,7 @@
 
 	private static final List<String> ZONES = List.of("a", "b", "c");
 
-	/** What an engine reads in a second, in tokens; as calls showed it */
+	/** The prefill rate of an engine as measured from calls, in tokens per second. */
 	private static final double SPEED = 56_000;
 
 	private static final ServiceSpec LLM = new ServiceSpec("llm", 100, Optional.of(new EngineSpec(64, 500_000, 0, 0)),
@@ -72,19 +72,21 @@
 			order(wanted, tenth);
 			int least = (int) Math.ceil(wanted.need() * 0.7);
 			if (tenth >= 550 && tenth < wave) {
-				assertThat(this.cloud.all()).as("before the wave").isGreaterThanOrEqualTo(least);
+				assertThat(this.cloud.all()).as("servers before the reclaim").isGreaterThanOrEqualTo(least);
 			}
-			// From the first refusal on, what is short is ordered, without the next zone.
+			// After the first refusal the missing servers are ordered without counting
+			// on the next zone.
 			if (tenth > wave + 5) {
-				assertThat(this.cloud.all() + this.cloud.booting()).as("at %s", tenth).isGreaterThanOrEqualTo(least);
+				assertThat(this.cloud.all() + this.cloud.booting()).as("servers in tenth %s", tenth)
+					.isGreaterThanOrEqualTo(least);
 			}
-			assertThat(this.cloud.ordersOfSecond).as("orders at %s", tenth).isLessThanOrEqualTo(12);
+			assertThat(this.cloud.ordersOfSecond).as("orders in tenth %s", tenth).isLessThanOrEqualTo(12);
 			if (tenth % 10 == 9) {
 				this.cloud.ordersOfSecond = 0;
 			}
 		}
 		Plan wanted = this.plan.plan(LLM, ZONES, demand, 1_200 * TENTH);
-		assertThat(this.cloud.present()).as("behind the wave").isEqualTo(new TreeMap<>(wanted.zones()));
+		assertThat(this.cloud.present()).as("servers after the reclaim").isEqualTo(new TreeMap<>(wanted.zones()));
 	}
 
 	private void order(Plan wanted, int tenth) {
@@ -107,7 +109,10 @@
 		return order;
 	}
 
-	/** A cloud that boots what is ordered, and has no reclaimable VMs while it is dry. */
+	/**
+	 * A cloud provider that boots the ordered servers, but has no reclaimable VMs
+	 * available while {@code dry} is set.
+	 */
 	private static final class Cloud {
 
 		private final Map<Size.Sort, Integer> running = new HashMap<>();
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizeOrdersTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizeOrdersTests.java
@@ -23,7 +23,10 @@
 	private static final ServiceSpec LLM = new ServiceSpec("llm", 100, Optional.of(new EngineSpec(64, 500_000, 0, 0)),
 			Optional.of(new ScalingSpec(1, 6, 4_000, 0.2, Map.of("a", 0.8, "b", 1.0))));
 
-	/** Two servers are needed at the least, two reclaimable ones in each zone. */
+	/**
+	 * At least two servers are required, and two reclaimable ones are planned in each
+	 * zone.
+	 */
 	private static final Plan PLAN = new Plan(2.8, 2.8,
 			new TreeMap<>(Map.of("a", new ZoneSize(1, 2), "b", new ZoneSize(0, 2))));
 
@@ -44,9 +47,9 @@
 		assertThat(next(COMPLETE, 0)).isEmpty();
 	}
 
-	// Callers wait and are refused for as long as a zone is missing. The reclaimable
-	// servers of a zone are reclaimed; their order was given seconds ago, so that it
-	// still counts as under way, and it is given again only after the time of a boot.
+	// The reclaimable servers of a zone are reclaimed a few seconds after their order.
+	// If the order still counts as pending, it is repeated only after the boot time, and
+	// calls queue up and are rejected for as long as the zone is missing.
 	@Test
 	void shouldOrderAnewAtOnceWhenServersThatWereThereAreReclaimed() {
 		next(WITHOUT_B, 0);
@@ -54,7 +57,7 @@
 		assertThat(next(WITHOUT_B, 2 * SECOND)).containsExactly(RECLAIMABLE_IN_B);
 	}
 
-	// The same, while the zone was about to grow: not all that was ordered had come.
+	// The same fault while the zone is growing: not all ordered servers are present yet.
 	@Test
 	void shouldOrderAnewAtOnceWhenSomeOfServersUnderWayAreReclaimed() {
 		next(WITHOUT_B, 0);
@@ -62,8 +65,8 @@
 		assertThat(next(WITHOUT_B, 2 * SECOND)).containsExactly(RECLAIMABLE_IN_B);
 	}
 
-	// Zones are reclaimed one after the other. Fallback servers that boot in the one were
-	// cancelled and ordered in the next as soon as that was refused too.
+	// Zones are reclaimed one after the other. Fallback servers booting in one zone were
+	// cancelled and ordered in the next zone as soon as that was refused too.
 	@Test
 	void shouldLeaveFallbackServersWhereTheyBoot() {
 		next(WITHOUT_B, 0);
@@ -82,10 +85,10 @@
 		assertThat(next(WITHOUT_B, 9 * SECOND)).containsExactly(RECLAIMABLE_IN_B);
 	}
 
-	// Callers are refused for as long as no reclaimable VM is to be had, although others
-	// are. Each order of a reclaimable one that is given again took the refusal of the
-	// one before for void, and the fallback servers were cancelled in the middle of their
-	// boot.
+	// Each repeated order of reclaimable servers discarded the refusal of the previous
+	// one, and the fallback servers were cancelled while booting. Calls were then
+	// rejected for as long as no reclaimable VM was available, although on-demand VMs
+	// were.
 	@Test
 	void shouldKeepFallbackServersWhileReclaimableOnesAreAskedForAgain() {
 		next(WITHOUT_B, 0);
@@ -108,20 +111,21 @@
 		assertThat(next(both, 9 * SECOND)).containsExactly(new Size("llm", "b", 0, false));
 	}
 
-	// Reclaims go from zone to zone while nowhere another VM is to be had. Ordered with
-	// the notice of the last zone, fallback servers boot while nobody serves.
+	// Reclaims go from zone to zone while no other VM is available. Fallback servers
+	// that are ordered upon the notice of the last zone boot while no server is left.
 	@Test
 	void shouldNotCountOnTheNextZoneOnceOneIsRefused() {
 		Plan large = new Plan(4.2, 4.2, PLAN.zones());
 		this.orders.next(LLM, large, WITHOUT_B, 0);
 		this.orders.failed(RECLAIMABLE_IN_B, true, 0);
-		// Three are there and three are needed; two of them may be next.
+		// Three servers are present and three are required; two of them may be reclaimed
+		// next.
 		assertThat(this.orders.next(LLM, large, WITHOUT_B, SECOND / 10))
 			.containsExactly(new Size("llm", "b", 2, false));
 	}
 
-	// Two zones are reclaimed at once: each of them ordered all that the service was
-	// short of, twice as many servers at the full price as were needed.
+	// Two zones are reclaimed at the same time: fallback servers for the whole shortage
+	// were ordered in each zone, twice as many at the on-demand price as required.
 	@Test
 	void shouldShareFallbackServersAmongZones() {
 		Map<String, ZoneSize> left = Map.of("a", new ZoneSize(1, 0), "b", ZoneSize.NONE);
@@ -133,8 +137,8 @@
 		assertThat(fallback.stream().mapToInt(Size::servers).sum()).isEqualTo(2);
 	}
 
-	// A zone is reclaimed while the plan moves from reclaimable servers to lasting ones:
-	// a server that lived was given back in another zone, and none came for it.
+	// A zone is reclaimed while the plan moves from reclaimable to on-demand servers: a
+	// live server in another zone was released without a replacement.
 	@Test
 	void shouldGiveNoServerBackWhileAnotherIsMissing() {
 		Plan smaller = new Plan(2.8, 2.8, new TreeMap<>(Map.of("a", new ZoneSize(1, 1), "b", new ZoneSize(1, 1))));
@@ -143,8 +147,8 @@
 				new Size("llm", "b", 1, true));
 	}
 
-	// What a flood needed is over; fallback servers for it would cost five times what
-	// the reclaimable ones do, for nobody.
+	// A traffic peak is over: fallback servers for it would cost five times as much as
+	// reclaimable ones and stay idle.
 	@Test
 	void shouldFallBackForNeedOfLateOnly() {
 		Plan behindPeak = new Plan(11, 1.4, PLAN.zones());
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizePlanTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizePlanTests.java
@@ -26,19 +26,19 @@
 
 	private static final List<String> ZONES = List.of("a", "b", "c");
 
-	/** What an engine reads in a second, in tokens; as calls showed it */
+	/** The prefill rate of an engine as measured from calls, in tokens per second. */
 	private static final double SPEED = 56_000;
 
 	private static final ServiceSpec LLM = service(0.2);
 
-	/** Spare reclaimable servers in three zones cost more than one that lasts. */
+	/** Spare reclaimable servers in three zones cost more than one on-demand server. */
 	private static final ServiceSpec DEAR_SPARES = service(0.4);
 
 	private final SizePlan plan = new SizePlan();
 
-	// Reclaims come in waves: all reclaimable servers of one zone after the other are
-	// taken within seconds, and no order is carried out meanwhile. What is not
-	// reclaimable is all that is left.
+	// Reclaims are correlated: the reclaimable servers of one zone after the other are
+	// terminated within seconds, and no order is carried out meanwhile. Only on-demand
+	// servers remain.
 	@Test
 	void shouldKeepLastingServersForLargeNeed() {
 		Plan sizes = this.plan.plan(DEAR_SPARES, ZONES, new Demand(320_000, SPEED, 0, 9), 0);
@@ -46,9 +46,10 @@
 		assertThat(sizes.zones().get("a").lasting()).isGreaterThanOrEqualTo(sizes.zones().get("c").lasting());
 	}
 
-	// Two waves follow each other, and for some seconds a single zone serves. Lasting
-	// servers that make up for it cost a day 0.2 of what it is worth; where spares cost a
-	// fifth, the same servers stand three times over for less.
+	// Two correlated reclaims follow each other, and a single zone serves for some
+	// seconds. On-demand servers that make up for it cost 0.2 of the value of a day; if
+	// a reclaimable server costs a fifth of that, the same number of servers in each of
+	// the three zones costs less.
 	@ParameterizedTest
 	@ValueSource(doubles = { 120_000, 200_000, 320_000, 440_000 })
 	void shouldCarryPartOfNeedInAnySingleZoneWhenSparesAreCheap(double tokens) {
@@ -61,8 +62,8 @@
 				.isGreaterThanOrEqualTo(Math.min(6, (int) Math.ceil(sizes.need() * 0.6))));
 	}
 
-	// A flood of seven seconds is over when a wave begins. Replaced one by one at the
-	// full price, what the flood had needed ran for half a minute beside it.
+	// A traffic peak of seven seconds is over when a reclaim begins. When its capacity
+	// was replaced one by one with on-demand VMs, they ran idle for half a minute.
 	@Test
 	void shouldForgetPeakSoonForWhatIsDear() {
 		this.plan.plan(LLM, ZONES, new Demand(430_000, SPEED, 0, 0), 100 * SECOND);
@@ -101,8 +102,9 @@
 		});
 	}
 
-	// Traffic swings with a period of some tens of seconds: servers given back in the
-	// trough are missing at the next crest, four seconds of boot and cold caches away.
+	// Traffic oscillates with a period of some tens of seconds: servers released at the
+	// minimum are missing at the next peak, since replacements boot for four seconds and
+	// start with cold caches.
 	@Test
 	void shouldHoldPeakThroughTrough() {
 		double peak = this.plan.plan(LLM, ZONES, new Demand(300_000, SPEED, 0, 0), 100 * SECOND).need();
@@ -110,16 +112,17 @@
 		assertThat(this.plan.plan(LLM, ZONES, new Demand(50_000, SPEED, 0, 0), 130 * SECOND).need()).isLessThan(peak);
 	}
 
-	// The first seconds of traffic meet too few servers: those that ran at the start
-	// register one after the other, and the first plan took the part seen for all.
+	// The servers present at the start register one after the other. When the first plan
+	// took those registered so far for all, too few servers were left for the first
+	// seconds of traffic.
 	@Test
 	void shouldRaiseFirstNeedWhileServersRegister() {
 		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 4), 0).need()).isCloseTo(2.4, within(0.01));
 		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 10), SECOND).need()).isEqualTo(6);
 	}
 
-	// The processes start before the traffic: a plan from no traffic gives all servers
-	// back that the first second of traffic needs.
+	// The processes start before the traffic: a plan based on no traffic releases all
+	// servers required in the first second of traffic.
 	@Test
 	void shouldTakeFirstSizeAsNeededUntilTrafficShows() {
 		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 10), 0).need()).isEqualTo(6);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/UsageLedgerTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/UsageLedgerTests.java
@@ -22,8 +22,8 @@
 		assertThat(this.ledger.close(20_200)).containsExactly(new Window(3, Map.of("sfax", 1L)));
 	}
 
-	// A call that began in the last moment of a window is told of a little later; closed
-	// too early, the window would be reported without it.
+	// A call that began at the end of a window is counted a little later; if the window
+	// were closed too early, the report would lack the call.
 	@Test
 	void shouldKeepWindowOpenForNewsUnderWay() {
 		this.ledger.began("sfax", 14_999);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/routes/TrafficConfigurationTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/routes/TrafficConfigurationTests.java
@@ -42,8 +42,8 @@
 		assertThat(this.configuration.organisation("key-3")).isEmpty();
 	}
 
-	// Every call of a route would fail with an error of ours when an operator misspells a
-	// service; the configuration before must stay in force instead.
+	// If an operator misspells a service, every call of the route would fail with an
+	// internal error; the previous configuration must stay in force instead.
 	@Test
 	void shouldRejectRouteToMissingService() {
 		assertThatIllegalArgumentException()
