--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendRow.java
@@ -10,23 +10,23 @@
 	BackendServer server;
 
 	/** Calls of this process that are waiting or running at the server. */
-	int own;
+	int ownCalls;
 
 	/**
 	 * Prompt tokens to prefill for calls of this process that have no first token yet.
 	 */
-	long ownUnread;
+	long ownUncachedTokens;
 
 	/** The last reported use of the server by other processes, by process. */
-	final Map<String, BackendUse> others = new HashMap<>();
+	final Map<String, BackendUse> usesByProcess = new HashMap<>();
 
 	/**
 	 * When the server is removed unless it registers again; empty while it is registered.
 	 */
-	OptionalLong dropAtNanos = OptionalLong.empty();
+	OptionalLong removeAtNanos = OptionalLong.empty();
 
 	/** Whether the last registration could not be parsed. */
-	boolean unreadable;
+	boolean invalidRegistration;
 
 	/**
 	 * After failures, the time before which the server is chosen only if no other is
@@ -38,7 +38,7 @@
 	double slowness = 1;
 
 	/** The sequence number of the last call sent to the server. */
-	long lastSent;
+	long lastCallNumber;
 
 	/**
 	 * When the server registered; empty if it was registered before this process started.
@@ -46,10 +46,10 @@
 	final OptionalLong registeredNanos;
 
 	/** The prompt segments that the server is assumed to have cached. */
-	final PartCache parts = new PartCache();
+	final PartCache cachedSegments = new PartCache();
 
 	/** Consecutive failed calls. */
-	int failures;
+	int consecutiveFailures;
 
 	BackendRow(BackendServer server, OptionalLong registeredNanos) {
 		this.server = server;
@@ -57,23 +57,23 @@
 	}
 
 	int load() {
-		int sum = this.own;
-		for (BackendUse other : this.others.values()) {
+		int sum = this.ownCalls;
+		for (BackendUse other : this.usesByProcess.values()) {
 			sum += other.calls();
 		}
 		return sum;
 	}
 
-	long unreadTokens() {
-		long sum = this.ownUnread;
-		for (BackendUse other : this.others.values()) {
+	long uncachedTokens() {
+		long sum = this.ownUncachedTokens;
+		for (BackendUse other : this.usesByProcess.values()) {
 			sum += other.unreadTokens();
 		}
 		return sum;
 	}
 
-	boolean takesCalls() {
-		return !this.unreadable && !this.server.leaving();
+	boolean isEligible() {
+		return !this.invalidRegistration && !this.server.leaving();
 	}
 
 	// Never shortens the period: calls that fail at a crashed server give no new
@@ -84,7 +84,7 @@
 		}
 	}
 
-	boolean avoided(long nowNanos) {
+	boolean isAvoided(long nowNanos) {
 		return this.avoidUntilNanos.isPresent() && nowNanos - this.avoidUntilNanos.getAsLong() < 0;
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendServer.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendServer.java
@@ -37,7 +37,7 @@
 	 * @param other the other registration
 	 * @return true if this registration is outdated
 	 */
-	boolean isBefore(BackendServer other) {
+	boolean isSupersededBy(BackendServer other) {
 		if (this.startedMillis != other.startedMillis) {
 			return this.startedMillis != START_UNKNOWN && this.startedMillis < other.startedMillis;
 		}
@@ -50,11 +50,11 @@
 	 * @param other the other registration
 	 * @return true if they differ at most in their sequence numbers
 	 */
-	boolean saysTheSame(BackendServer other) {
-		return numbered(0).equals(other.numbered(0));
+	boolean hasSameContent(BackendServer other) {
+		return withSequence(0).equals(other.withSequence(0));
 	}
 
-	private BackendServer numbered(long number) {
+	private BackendServer withSequence(long number) {
 		return new BackendServer(this.id, this.startedMillis, this.service, this.version, this.address, this.zone,
 				this.slots, this.leaving, this.reclaimable, number);
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendTable.java
@@ -25,58 +25,58 @@
 	 * The time after an outage of the registry within which servers whose registrations
 	 * lapsed during the outage register again.
 	 */
-	private static final long RETURN_NANOS = TimeUnit.MILLISECONDS.toNanos(2_200);
+	private static final long REREGISTRATION_NANOS = TimeUnit.MILLISECONDS.toNanos(2_200);
 
 	/**
 	 * The maximum retention of a server whose registration ended. If the server was
 	 * terminated it must get no calls two seconds later; the remaining 0.4 s is for calls
 	 * in progress.
 	 */
-	private static final long KEPT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_600);
+	private static final long LAPSED_RETENTION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_600);
 
 	/**
 	 * How long a server gets no new calls after a failure, doubled for each consecutive
-	 * failure up to {@link #AVOID_DOUBLINGS} times. Long enough to keep calls from a
-	 * terminated server whose registration has not lapsed yet, short enough to notice
-	 * soon that it is available again.
+	 * failure up to {@link #MAX_AVOIDANCE_DOUBLINGS} times. Long enough to keep calls
+	 * from a terminated server whose registration has not lapsed yet, short enough to
+	 * notice soon that it is available again.
 	 */
-	private static final long AVOID_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+	private static final long AVOIDANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-	private static final int AVOID_DOUBLINGS = 4;
+	private static final int MAX_AVOIDANCE_DOUBLINGS = 4;
 
 	/**
 	 * How long a crashed server gets no calls unless no other server is left: longer than
 	 * a registration lasts without heartbeats.
 	 */
-	private static final long CRASHED_NANOS = TimeUnit.SECONDS.toNanos(4);
+	private static final long CRASH_AVOIDANCE_NANOS = TimeUnit.SECONDS.toNanos(4);
 
 	/**
 	 * Consecutive failures before a server is avoided; a single one may be caused by the
 	 * call itself.
 	 */
-	private static final int AVOID_AFTER = 2;
+	private static final int AVOIDANCE_THRESHOLD = 2;
 
 	/** The weight of the newest sample in a server's smoothed slowness. */
-	private static final double SLOWNESS_NEWEST = 0.15;
+	private static final double SLOWNESS_SMOOTHING_FACTOR = 0.15;
 
 	/** The bound of a single slowness sample, as a factor in both directions. */
-	private static final double SLOWNESS_MOST = 5;
+	private static final double MAX_SLOWNESS_RATIO = 5;
 
 	/**
 	 * The maximum number of servers whose last registration is retained; the oldest
 	 * entries are evicted first.
 	 */
-	private static final int LATEST_MOST = 8_192;
+	private static final int MAX_LATEST_REGISTRATIONS = 8_192;
 
 	private final Map<String, BackendRow> rows = new LinkedHashMap<>();
 
 	/** The servers that each other process used according to its last report. */
-	private final Map<String, Set<Start>> usedBy = new HashMap<>();
+	private final Map<String, Set<Start>> serversByProcess = new HashMap<>();
 
 	/** The last registration of each server, including servers that were removed. */
-	private final Map<String, BackendServer> latest = new LinkedHashMap<>();
+	private final Map<String, BackendServer> latestRegistrations = new LinkedHashMap<>();
 
-	private final PartNews partNews = new PartNews();
+	private final PartNews segmentUpdates = new PartNews();
 
 	/** The number of calls sent so far, to all servers. */
 	private long sent;
@@ -110,24 +110,25 @@
 		if (isOutdated(server)) {
 			return false;
 		}
-		noteLatest(server);
+		recordLatest(server);
 		BackendRow known = this.rows.get(server.id());
 		if (known == null || isOtherStart(server)) {
 			this.rows.put(server.id(), new BackendRow(server, registeredNanos));
 			return true;
 		}
-		boolean changed = !known.server.saysTheSame(server) || known.dropAtNanos.isPresent() || known.unreadable;
+		boolean changed = !known.server.hasSameContent(server) || known.removeAtNanos.isPresent()
+				|| known.invalidRegistration;
 		known.server = server;
-		known.dropAtNanos = OptionalLong.empty();
-		known.unreadable = false;
+		known.removeAtNanos = OptionalLong.empty();
+		known.invalidRegistration = false;
 		return changed;
 	}
 
-	private void noteLatest(BackendServer server) {
-		this.latest.remove(server.id());
-		this.latest.put(server.id(), server);
-		if (this.latest.size() > LATEST_MOST) {
-			this.latest.remove(this.latest.keySet().iterator().next());
+	private void recordLatest(BackendServer server) {
+		this.latestRegistrations.remove(server.id());
+		this.latestRegistrations.put(server.id(), server);
+		if (this.latestRegistrations.size() > MAX_LATEST_REGISTRATIONS) {
+			this.latestRegistrations.remove(this.latestRegistrations.keySet().iterator().next());
 		}
 	}
 
@@ -139,7 +140,9 @@
 	 * @return true if the registration must be ignored
 	 */
 	public boolean isOutdated(BackendServer server) {
-		return Optional.ofNullable(this.latest.get(server.id())).filter(server::isBefore).isPresent();
+		return Optional.ofNullable(this.latestRegistrations.get(server.id()))
+			.filter(server::isSupersededBy)
+			.isPresent();
 	}
 
 	/**
@@ -157,7 +160,7 @@
 	 * @param id the id of the server
 	 */
 	public void unreadable(String id) {
-		Optional.ofNullable(this.rows.get(id)).ifPresent((row) -> row.unreadable = true);
+		Optional.ofNullable(this.rows.get(id)).ifPresent((row) -> row.invalidRegistration = true);
 	}
 
 	/**
@@ -171,11 +174,12 @@
 	 */
 	public long lapsed(String id, long nowNanos, OptionalLong returnedNanos) {
 		BackendRow row = this.rows.get(id);
-		if (row != null && row.dropAtNanos.isEmpty()) {
-			long comesBack = returnedNanos.isPresent() ? returnedNanos.getAsLong() + RETURN_NANOS - nowNanos : 0;
-			row.dropAtNanos = OptionalLong.of(nowNanos + Math.clamp(comesBack, 0, KEPT_NANOS));
+		if (row != null && row.removeAtNanos.isEmpty()) {
+			long comesBack = returnedNanos.isPresent() ? returnedNanos.getAsLong() + REREGISTRATION_NANOS - nowNanos
+					: 0;
+			row.removeAtNanos = OptionalLong.of(nowNanos + Math.clamp(comesBack, 0, LAPSED_RETENTION_NANOS));
 		}
-		return (row != null) ? Math.max(0, row.dropAtNanos.getAsLong() - nowNanos) : 0;
+		return (row != null) ? Math.max(0, row.removeAtNanos.getAsLong() - nowNanos) : 0;
 	}
 
 	/**
@@ -186,7 +190,7 @@
 	public List<BackendServer> expire(long nowNanos) {
 		List<BackendServer> dropped = new ArrayList<>();
 		this.rows.values().removeIf((row) -> {
-			boolean over = row.dropAtNanos.isPresent() && nowNanos - row.dropAtNanos.getAsLong() >= 0;
+			boolean over = row.removeAtNanos.isPresent() && nowNanos - row.removeAtNanos.getAsLong() >= 0;
 			if (over) {
 				dropped.add(row.server);
 			}
@@ -204,9 +208,9 @@
 	 */
 	public void sent(Start server, long unreadTokens) {
 		row(server).ifPresent((row) -> {
-			row.own++;
-			row.lastSent = ++this.sent;
-			row.ownUnread += unreadTokens;
+			row.ownCalls++;
+			row.lastCallNumber = ++this.sent;
+			row.ownUncachedTokens += unreadTokens;
 		});
 	}
 
@@ -218,8 +222,8 @@
 	 */
 	public void reads(Start server, SharedParts shared, long memoryTokens) {
 		row(server).ifPresent((row) -> shared.parts().forEach((part) -> {
-			if (row.parts.add(part, memoryTokens)) {
-				this.partNews.add(server, part);
+			if (row.cachedSegments.add(part, memoryTokens)) {
+				this.segmentUpdates.add(server, part);
 			}
 		}));
 	}
@@ -231,7 +235,7 @@
 	 * @param memoryTokens the capacity of the server's KV cache, in tokens
 	 */
 	public void othersRead(Start server, List<SharedParts.Part> parts, long memoryTokens) {
-		row(server).ifPresent((row) -> parts.forEach((part) -> row.parts.add(part, memoryTokens)));
+		row(server).ifPresent((row) -> parts.forEach((part) -> row.cachedSegments.add(part, memoryTokens)));
 	}
 
 	/**
@@ -240,7 +244,7 @@
 	 * @return the segments by run of a server
 	 */
 	public Map<Start, List<SharedParts.Part>> partsToTell() {
-		return this.partNews.take();
+		return this.segmentUpdates.take();
 	}
 
 	/**
@@ -249,7 +253,7 @@
 	 * @param unreadTokens the tokens recorded when the call was sent
 	 */
 	public void read(Start server, long unreadTokens) {
-		row(server).ifPresent((row) -> row.ownUnread = Math.max(0, row.ownUnread - unreadTokens));
+		row(server).ifPresent((row) -> row.ownUncachedTokens = Math.max(0, row.ownUncachedTokens - unreadTokens));
 	}
 
 	/**
@@ -259,8 +263,9 @@
 	 * @param millis the measured time, in milliseconds
 	 */
 	public void firstToken(Start server, long expectedMillis, long millis) {
-		double ratio = Math.clamp((double) millis / Math.max(1, expectedMillis), 1 / SLOWNESS_MOST, SLOWNESS_MOST);
-		row(server).ifPresent((row) -> row.slowness += SLOWNESS_NEWEST * (ratio - row.slowness));
+		double ratio = Math.clamp((double) millis / Math.max(1, expectedMillis), 1 / MAX_SLOWNESS_RATIO,
+				MAX_SLOWNESS_RATIO);
+		row(server).ifPresent((row) -> row.slowness += SLOWNESS_SMOOTHING_FACTOR * (ratio - row.slowness));
 	}
 
 	/**
@@ -274,10 +279,11 @@
 	}
 
 	private static void ended(BackendRow row, boolean failed, long nowNanos) {
-		row.own = Math.max(0, row.own - 1);
-		row.failures = failed ? row.failures + 1 : 0;
-		if (row.failures >= AVOID_AFTER) {
-			long nanos = AVOID_NANOS << Math.min(AVOID_DOUBLINGS, row.failures - AVOID_AFTER);
+		row.ownCalls = Math.max(0, row.ownCalls - 1);
+		row.consecutiveFailures = failed ? row.consecutiveFailures + 1 : 0;
+		if (row.consecutiveFailures >= AVOIDANCE_THRESHOLD) {
+			long nanos = AVOIDANCE_NANOS << Math.min(MAX_AVOIDANCE_DOUBLINGS,
+					row.consecutiveFailures - AVOIDANCE_THRESHOLD);
 			row.avoidUntil(nowNanos + nanos);
 		}
 	}
@@ -289,7 +295,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void crashed(Start server, long nowNanos) {
-		row(server).ifPresent((row) -> row.avoidUntil(nowNanos + CRASHED_NANOS));
+		row(server).ifPresent((row) -> row.avoidUntil(nowNanos + CRASH_AVOIDANCE_NANOS));
 	}
 
 	/**
@@ -306,7 +312,7 @@
 	 * @param server the run of the server
 	 */
 	public void abandoned(Start server) {
-		row(server).ifPresent((row) -> row.own = Math.max(0, row.own - 1));
+		row(server).ifPresent((row) -> row.ownCalls = Math.max(0, row.ownCalls - 1));
 	}
 
 	/**
@@ -315,12 +321,12 @@
 	 * @param uses its use by run of a server; servers that are absent are not used by it
 	 */
 	public void othersAt(String process, Map<Start, BackendUse> uses) {
-		Set<Start> before = this.usedBy.getOrDefault(process, Set.of());
+		Set<Start> before = this.serversByProcess.getOrDefault(process, Set.of());
 		before.stream()
 			.filter((server) -> !uses.containsKey(server))
-			.forEach((server) -> row(server).ifPresent((row) -> row.others.remove(process)));
-		uses.forEach((server, use) -> row(server).ifPresent((row) -> row.others.put(process, use)));
-		this.usedBy.put(process, Set.copyOf(uses.keySet()));
+			.forEach((server) -> row(server).ifPresent((row) -> row.usesByProcess.remove(process)));
+		uses.forEach((server, use) -> row(server).ifPresent((row) -> row.usesByProcess.put(process, use)));
+		this.serversByProcess.put(process, Set.copyOf(uses.keySet()));
 	}
 
 	/**
@@ -331,8 +337,8 @@
 	public Map<Start, BackendUse> ownUse() {
 		Map<Start, BackendUse> uses = new HashMap<>();
 		for (BackendRow row : this.rows.values()) {
-			if (row.own > 0) {
-				uses.put(row.server.start(), new BackendUse(row.own, row.ownUnread));
+			if (row.ownCalls > 0) {
+				uses.put(row.server.start(), new BackendUse(row.ownCalls, row.ownUncachedTokens));
 			}
 		}
 		return uses;
@@ -355,7 +361,7 @@
 	 * @return true while it is registered and not leaving
 	 */
 	public boolean isExpected(Start server) {
-		return row(server).filter((row) -> row.dropAtNanos.isEmpty() && !row.server.leaving()).isPresent();
+		return row(server).filter((row) -> row.removeAtNanos.isEmpty() && !row.server.leaving()).isPresent();
 	}
 
 	/**
@@ -400,17 +406,17 @@
 	public Set<Start> takers() {
 		return this.rows.values()
 			.stream()
-			.filter(BackendRow::takesCalls)
+			.filter(BackendRow::isEligible)
 			.map((row) -> row.server.start())
 			.collect(Collectors.toUnmodifiableSet());
 	}
 
 	// The servers of a service that are eligible for new calls, without those already
 	// tried.
-	List<BackendRow> takers(String service, Collection<String> tried) {
+	List<BackendRow> eligibleRows(String service, Collection<String> tried) {
 		List<BackendRow> takers = new ArrayList<>();
 		for (BackendRow row : this.rows.values()) {
-			if (row.server.service().equals(service) && row.takesCalls() && !tried.contains(row.server.id())) {
+			if (row.server.service().equals(service) && row.isEligible() && !tried.contains(row.server.id())) {
 				takers.add(row);
 			}
 		}
@@ -419,10 +425,10 @@
 
 	// The servers of a service that may have segments cached, whether or not they accept
 	// new calls.
-	List<BackendRow> holders(String service) {
+	List<BackendRow> cacheCandidates(String service) {
 		return this.rows.values()
 			.stream()
-			.filter((row) -> !row.unreadable && row.server.service().equals(service))
+			.filter((row) -> !row.invalidRegistration && row.server.service().equals(service))
 			.toList();
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/Dispatcher.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/Dispatcher.java
@@ -37,7 +37,7 @@
 	 * segments is incomplete. Within it the process places calls with most of the
 	 * segments in use or receives reports about them.
 	 */
-	private static final long IGNORANT_NANOS = TimeUnit.SECONDS.toNanos(10);
+	private static final long WARM_UP_NANOS = TimeUnit.SECONDS.toNanos(10);
 
 	/**
 	 * The factor by which the expected time to first token may exceed the target for the
@@ -45,11 +45,11 @@
 	 * after it. The factor is lower for less urgent calls, so that a server short of
 	 * capacity never rejects an urgent call in favour of a less urgent one.
 	 */
-	private static final double LATE_FACTOR = 1.8;
+	private static final double LATENESS_FACTOR = 1.8;
 
-	private static final double LATE_FACTOR_STEP = 0.4;
+	private static final double LATENESS_FACTOR_STEP = 0.4;
 
-	private static final double LATE_FACTOR_LEAST = 0.8;
+	private static final double MIN_LATENESS_FACTOR = 0.8;
 
 	private final BackendTable table;
 
@@ -90,64 +90,65 @@
 	 * @return the choice
 	 */
 	public Choice choose(Wish wish, Collection<String> tried, Predicate<BackendServer> allowed, long nowNanos) {
-		List<BackendRow> takers = this.table.takers(wish.service(), tried)
+		List<BackendRow> takers = this.table.eligibleRows(wish.service(), tried)
 			.stream()
 			.filter((row) -> allowed.test(row.server))
 			.toList();
 		if (takers.isEmpty()) {
 			return new Choice.NoServer();
 		}
-		List<BackendRow> sound = takers.stream().filter((row) -> !row.avoided(nowNanos)).toList();
+		List<BackendRow> sound = takers.stream().filter((row) -> !row.isAvoided(nowNanos)).toList();
 		List<BackendRow> candidates = sound.isEmpty() ? takers : sound;
 		List<BackendRow> free = candidates.stream().filter((row) -> row.load() < row.server.slots()).toList();
 		if (free.isEmpty()) {
 			return new Choice.Full(candidates.size(), 0);
 		}
-		return (wish.ownTokens() == 0) ? leastLoaded(free) : soonest(wish, free, nowNanos);
+		return (wish.ownTokens() == 0) ? leastLoaded(free) : earliestFirstToken(wish, free, nowNanos);
 	}
 
 	private Choice leastLoaded(List<BackendRow> free) {
 		BackendRow chosen = free.stream()
 			.min(Comparator.comparingInt(BackendRow::load)
 				.thenComparing((row) -> !row.server.zone().equals(this.zone))
-				.thenComparingLong((row) -> row.lastSent)
+				.thenComparingLong((row) -> row.lastCallNumber)
 				.thenComparing((row) -> row.server.id()))
 			.orElseThrow();
 		return new Choice.Chosen(chosen.server, chosen.load(), 0, 0, free.size(), Optional.empty(), Optional.empty());
 	}
 
-	private Choice soonest(Wish wish, List<BackendRow> free, long nowNanos) {
+	private Choice earliestFirstToken(Wish wish, List<BackendRow> free, long nowNanos) {
 		if (this.firstPromptNanos.isEmpty()) {
 			this.firstPromptNanos = OptionalLong.of(nowNanos);
 		}
-		Optional<Holder> holder = holder(wish, nowNanos);
-		Priced chosen = free.stream()
-			.map((row) -> price(wish, row, holder))
-			.min(Comparator.comparingDouble(Priced::cost).thenComparingLong((priced) -> rank(wish, priced.row)))
+		Optional<CachingServer> holder = findCachingServer(wish, nowNanos);
+		CostEstimate chosen = free.stream()
+			.map((row) -> estimate(wish, row, holder))
+			.min(Comparator.comparingDouble(CostEstimate::costMillis)
+				.thenComparingLong((priced) -> rank(wish, priced.row)))
 			.orElseThrow();
-		long millis = (long) chosen.cost;
-		double factor = Math.max(LATE_FACTOR_LEAST, LATE_FACTOR - LATE_FACTOR_STEP * wish.priority());
+		long millis = (long) chosen.costMillis;
+		double factor = Math.max(MIN_LATENESS_FACTOR, LATENESS_FACTOR - LATENESS_FACTOR_STEP * wish.priority());
 		if (millis > wish.targetMillis() * factor) {
 			return new Choice.Full(free.size(), millis);
 		}
-		return new Choice.Chosen(chosen.row.server, chosen.row.load(), chosen.unread, millis, free.size(),
-				chosen.fetchFrom.map((row) -> row.server), Optional.of(chosen.work));
+		return new Choice.Chosen(chosen.row.server, chosen.row.load(), chosen.uncachedTokens, millis, free.size(),
+				chosen.transferSource.map((row) -> row.server), Optional.of(chosen.work));
 	}
 
 	// The server with the most tokens of the prompt prefix cached. A leaving server
 	// keeps its cache until it is terminated.
-	private Optional<Holder> holder(Wish wish, long nowNanos) {
-		List<BackendRow> rows = this.table.holders(wish.service())
+	private Optional<CachingServer> findCachingServer(Wish wish, long nowNanos) {
+		List<BackendRow> rows = this.table.cacheCandidates(wish.service())
 			.stream()
-			.filter((row) -> !row.avoided(nowNanos))
+			.filter((row) -> !row.isAvoided(nowNanos))
 			.toList();
-		Optional<Holder> most = rows.stream()
-			.map((row) -> new Holder(row, row.parts.held(wish.shared())))
+		Optional<CachingServer> most = rows.stream()
+			.map((row) -> new CachingServer(row, row.cachedSegments.cachedTokens(wish.prefix())))
 			.filter((holder) -> holder.tokens > 0)
-			.max(Comparator.comparingInt(Holder::tokens)
+			.max(Comparator.comparingInt(CachingServer::tokens)
 				.thenComparing((holder) -> holder.row.server.zone().equals(this.zone))
 				.thenComparingLong((holder) -> rank(wish, holder.row)));
-		return most.isPresent() ? most : presumed(wish, rows, nowNanos);
+		return most.isPresent() ? most : assumedCachingServer(wish, rows, nowNanos);
 	}
 
 	// A restarted process has no record of cached segments. During the warm-up time,
@@ -155,26 +156,26 @@
 	// prefixes for which they come first in the common order: with empty caches assumed,
 	// every prompt seemed to need a full prefill, and 200 calls were rejected within two
 	// seconds after all processes had been killed.
-	private Optional<Holder> presumed(Wish wish, List<BackendRow> rows, long nowNanos) {
-		boolean ignorant = nowNanos - this.firstPromptNanos.getAsLong() < IGNORANT_NANOS;
+	private Optional<CachingServer> assumedCachingServer(Wish wish, List<BackendRow> rows, long nowNanos) {
+		boolean ignorant = nowNanos - this.firstPromptNanos.getAsLong() < WARM_UP_NANOS;
 		return rows.stream()
 			.filter((row) -> ignorant && row.registeredNanos.isEmpty())
 			.min(Comparator.comparingLong((row) -> rank(wish, row)))
-			.map((row) -> new Holder(row, wish.shared().tokens()));
+			.map((row) -> new CachingServer(row, wish.prefix().tokens()));
 	}
 
-	private Priced price(Wish wish, BackendRow row, Optional<Holder> holder) {
+	private CostEstimate estimate(Wish wish, BackendRow row, Optional<CachingServer> holder) {
 		FirstTokenModel model = model(wish.service());
 		boolean isHolder = holder.isPresent() && holder.get().row == row;
-		int held = isHolder ? holder.get().tokens : row.parts.held(wish.shared());
-		int elsewhere = holder.map(Holder::tokens).orElse(0) - held;
-		double fetchMillis = (elsewhere > 0) ? wish.fetchMillis(elsewhere) : Double.POSITIVE_INFINITY;
+		int held = isHolder ? holder.get().tokens : row.cachedSegments.cachedTokens(wish.prefix());
+		int elsewhere = holder.map(CachingServer::tokens).orElse(0) - held;
+		double fetchMillis = (elsewhere > 0) ? wish.transferMillis(elsewhere) : Double.POSITIVE_INFINITY;
 		boolean fetches = fetchMillis < elsewhere / model.tokensPerMilli();
-		int prompt = wish.ownTokens() + wish.shared().tokens();
+		int prompt = wish.ownTokens() + wish.prefix().tokens();
 		long unread = prompt - held - (fetches ? elsewhere : 0);
-		Work work = Work.of(row.unreadTokens(), unread, prompt, row.load());
+		Work work = Work.of(row.uncachedTokens(), unread, prompt, row.load());
 		double millis = row.slowness * model.expectedMillis(work) + (fetches ? fetchMillis : 0);
-		return new Priced(row, unread, work, millis, fetches ? holder.map(Holder::row) : Optional.empty());
+		return new CostEstimate(row, unread, work, millis, fetches ? holder.map(CachingServer::row) : Optional.empty());
 	}
 
 	/**
@@ -195,21 +196,21 @@
 	}
 
 	private static long rank(Wish wish, BackendRow row) {
-		return Hashing.wyhashFinal4().hashCharsToLong(Long.toHexString(wish.shared().name()) + '@' + row.server.id());
+		return Hashing.wyhashFinal4().hashCharsToLong(Long.toHexString(wish.prefix().hash()) + '@' + row.server.id());
 	}
 
 	/**
 	 * The requirements of a call.
 	 *
 	 * @param service the service
-	 * @param shared the prompt prefix that it shares with other calls
+	 * @param prefix the prompt prefix that it shares with other calls
 	 * @param engine the engine parameters of the service, empty if it has none
 	 * @param ownTokens the prompt tokens that no other call has in common; 0 for a call
 	 * without a prompt
 	 * @param targetMillis the time left until the first token is due, in milliseconds
 	 * @param priority its priority, 0 for the most urgent
 	 */
-	public record Wish(String service, SharedParts shared, Optional<EngineSpec> engine, int ownTokens,
+	public record Wish(String service, SharedParts prefix, Optional<EngineSpec> engine, int ownTokens,
 			long targetMillis, int priority) {
 
 		/**
@@ -227,8 +228,8 @@
 			return Math.max(0, ran ? remainingMillis : targetMillis);
 		}
 
-		private double fetchMillis(int tokens) {
-			return this.engine.map((spec) -> spec.fetchMillis(tokens)).orElse(Double.POSITIVE_INFINITY);
+		private double transferMillis(int tokens) {
+			return this.engine.map((spec) -> spec.transferMillis(tokens)).orElse(Double.POSITIVE_INFINITY);
 		}
 
 	}
@@ -268,10 +269,11 @@
 
 	}
 
-	private record Holder(BackendRow row, int tokens) {
+	private record CachingServer(BackendRow row, int tokens) {
 	}
 
-	private record Priced(BackendRow row, long unread, Work work, double cost, Optional<BackendRow> fetchFrom) {
+	private record CostEstimate(BackendRow row, long uncachedTokens, Work work, double costMillis,
+			Optional<BackendRow> transferSource) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/FirstTokenModel.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/FirstTokenModel.java
@@ -19,52 +19,52 @@
 	 * the engines measured so far, which prefill 66 to 94 tokens per millisecond and
 	 * respond to a short prompt within 20 to 60 ms.
 	 */
-	private static final double[] START = { 30, 1 / 60.0, 0.5, 0.5 };
+	private static final double[] INITIAL_COEFFICIENTS = { 30, 1 / 60.0, 0.5, 0.5 };
 
 	/** The weight of the initial coefficients, as a number of calls. */
-	private static final double START_WEIGHT = 30;
+	private static final double INITIAL_WEIGHT = 30;
 
 	/**
 	 * The typical value of each feature, used to give all initial coefficients equal
 	 * weight.
 	 */
-	private static final double[] USUAL = { 1, 4_000, 8, 10 };
+	private static final double[] TYPICAL_FEATURES = { 1, 4_000, 8, 10 };
 
 	/**
 	 * The factor by which the weight of a call decays with each further call; about 500
 	 * calls are effective.
 	 */
-	private static final double KEPT = 0.998;
+	private static final double DECAY_FACTOR = 0.998;
 
 	/**
 	 * The bound of a single measurement relative to the expected time, as a factor in
 	 * both directions.
 	 */
-	private static final double MOST = 4;
+	private static final double MAX_RATIO = 4;
 
 	/**
 	 * The number of calls from which the fitted coefficients are preferred to those of
 	 * other processes.
 	 */
-	private static final int LEARNED_CALLS = 60;
+	private static final int MIN_CALLS = 60;
 
 	/**
 	 * The exclusive upper bound of a valid coefficient, in milliseconds per unit of its
 	 * feature.
 	 */
-	private static final double MOST_RATE = 10_000;
+	private static final double MAX_COEFFICIENT = 10_000;
 
-	private static final int CAUSES = START.length;
+	private static final int FEATURE_COUNT = INITIAL_COEFFICIENTS.length;
 
-	private final double[][] products = new double[CAUSES][CAUSES];
+	private final double[][] normalMatrix = new double[FEATURE_COUNT][FEATURE_COUNT];
 
-	private final double[] sums = new double[CAUSES];
+	private final double[] normalVector = new double[FEATURE_COUNT];
 
-	private double[] start = START.clone();
+	private double[] initialCoefficients = INITIAL_COEFFICIENTS.clone();
 
-	private double[] rates = START.clone();
+	private double[] coefficients = INITIAL_COEFFICIENTS.clone();
 
-	private long calls;
+	private long measuredCalls;
 
 	/**
 	 * Updates the model with a measured call.
@@ -73,18 +73,18 @@
 	 */
 	public void learn(Work work, double millis) {
 		double expected = expectedMillis(work);
-		double bounded = Math.clamp(millis, expected / MOST, expected * MOST);
-		double[] causes = work.causes();
+		double bounded = Math.clamp(millis, expected / MAX_RATIO, expected * MAX_RATIO);
+		double[] causes = work.features();
 		// Reduces the influence of long times from quadratic to linear.
 		double weight = 1 / Math.max(1, expected);
-		for (int i = 0; i < CAUSES; i++) {
-			for (int j = 0; j < CAUSES; j++) {
-				this.products[i][j] = this.products[i][j] * KEPT + weight * causes[i] * causes[j];
+		for (int i = 0; i < FEATURE_COUNT; i++) {
+			for (int j = 0; j < FEATURE_COUNT; j++) {
+				this.normalMatrix[i][j] = this.normalMatrix[i][j] * DECAY_FACTOR + weight * causes[i] * causes[j];
 			}
-			this.sums[i] = this.sums[i] * KEPT + weight * causes[i] * bounded;
+			this.normalVector[i] = this.normalVector[i] * DECAY_FACTOR + weight * causes[i] * bounded;
 		}
-		this.calls++;
-		this.rates = solved();
+		this.measuredCalls++;
+		this.coefficients = solve();
 	}
 
 	/**
@@ -93,10 +93,10 @@
 	 * @return the time in milliseconds
 	 */
 	public double expectedMillis(Work work) {
-		double[] causes = work.causes();
+		double[] causes = work.features();
 		double millis = 0;
-		for (int i = 0; i < CAUSES; i++) {
-			millis += this.rates[i] * causes[i];
+		for (int i = 0; i < FEATURE_COUNT; i++) {
+			millis += this.coefficients[i] * causes[i];
 		}
 		return millis;
 	}
@@ -110,7 +110,8 @@
 	 * @return the tokens prefilled per millisecond
 	 */
 	public double tokensPerMilli() {
-		return USUAL[1] / (USUAL[1] * this.rates[1] + USUAL[3] * this.rates[3]);
+		return TYPICAL_FEATURES[1]
+				/ (TYPICAL_FEATURES[1] * this.coefficients[1] + TYPICAL_FEATURES[3] * this.coefficients[3]);
 	}
 
 	// -- exchange between processes
@@ -121,7 +122,7 @@
 	 * @return the coefficients, empty while they rest on too few calls
 	 */
 	public List<Double> learned() {
-		return (this.calls < LEARNED_CALLS) ? List.of() : Arrays.stream(this.rates).boxed().toList();
+		return (this.measuredCalls < MIN_CALLS) ? List.of() : Arrays.stream(this.coefficients).boxed().toList();
 	}
 
 	/**
@@ -130,47 +131,49 @@
 	 * @param learned the coefficients of the other process
 	 */
 	public void adopt(List<Double> learned) {
-		boolean usable = learned.size() == CAUSES && learned.stream().allMatch((rate) -> rate > 0 && rate < MOST_RATE);
-		if (usable && this.calls < LEARNED_CALLS) {
-			this.start = learned.stream().mapToDouble(Double::doubleValue).toArray();
-			this.rates = solved();
+		boolean usable = learned.size() == FEATURE_COUNT
+				&& learned.stream().allMatch((rate) -> rate > 0 && rate < MAX_COEFFICIENT);
+		if (usable && this.measuredCalls < MIN_CALLS) {
+			this.initialCoefficients = learned.stream().mapToDouble(Double::doubleValue).toArray();
+			this.coefficients = solve();
 		}
 	}
 
 	// The least-squares coefficients, regularised towards the initial ones. None is less
 	// than a tenth of its initial value, since no work takes zero time.
-	private double[] solved() {
-		double[][] left = new double[CAUSES][];
-		double[] right = this.sums.clone();
-		for (int i = 0; i < CAUSES; i++) {
-			left[i] = this.products[i].clone();
-			double weight = START_WEIGHT * USUAL[i] * USUAL[i] / (USUAL[1] * this.start[1]);
+	private double[] solve() {
+		double[][] left = new double[FEATURE_COUNT][];
+		double[] right = this.normalVector.clone();
+		for (int i = 0; i < FEATURE_COUNT; i++) {
+			left[i] = this.normalMatrix[i].clone();
+			double weight = INITIAL_WEIGHT * TYPICAL_FEATURES[i] * TYPICAL_FEATURES[i]
+					/ (TYPICAL_FEATURES[1] * this.initialCoefficients[1]);
 			left[i][i] += weight;
-			right[i] += weight * this.start[i];
+			right[i] += weight * this.initialCoefficients[i];
 		}
-		double[] solution = eliminate(left, right);
-		for (int i = 0; i < CAUSES; i++) {
-			solution[i] = Math.max(this.start[i] / 10, solution[i]);
+		double[] solution = solveLinearSystem(left, right);
+		for (int i = 0; i < FEATURE_COUNT; i++) {
+			solution[i] = Math.max(this.initialCoefficients[i] / 10, solution[i]);
 		}
 		return solution;
 	}
 
 	// Gaussian elimination without pivoting; the matrix is positive definite because the
 	// regularisation adds positive values to its diagonal.
-	private static double[] eliminate(double[][] left, double[] right) {
-		for (int pivot = 0; pivot < CAUSES; pivot++) {
-			for (int row = pivot + 1; row < CAUSES; row++) {
+	private static double[] solveLinearSystem(double[][] left, double[] right) {
+		for (int pivot = 0; pivot < FEATURE_COUNT; pivot++) {
+			for (int row = pivot + 1; row < FEATURE_COUNT; row++) {
 				double factor = left[row][pivot] / left[pivot][pivot];
-				for (int column = pivot; column < CAUSES; column++) {
+				for (int column = pivot; column < FEATURE_COUNT; column++) {
 					left[row][column] -= factor * left[pivot][column];
 				}
 				right[row] -= factor * right[pivot];
 			}
 		}
-		double[] solution = new double[CAUSES];
-		for (int row = CAUSES - 1; row >= 0; row--) {
+		double[] solution = new double[FEATURE_COUNT];
+		for (int row = FEATURE_COUNT - 1; row >= 0; row--) {
 			double known = right[row];
-			for (int column = row + 1; column < CAUSES; column++) {
+			for (int column = row + 1; column < FEATURE_COUNT; column++) {
 				known -= left[row][column] * solution[column];
 			}
 			solution[row] = known / left[row][row];
@@ -184,9 +187,9 @@
 	 * @param tokens the prompt tokens that it prefills, of the call and of those queued
 	 * before it
 	 * @param calls the number of calls running at the server
-	 * @param pairs the token pairs that attention covers for the call, in millions
+	 * @param tokenPairs the token pairs that attention covers for the call, in millions
 	 */
-	public record Work(double tokens, int calls, double pairs) {
+	public record Work(double tokens, int calls, double tokenPairs) {
 
 		/**
 		 * Returns the work for a call.
@@ -200,8 +203,8 @@
 			return new Work(ahead + unread, calls, unread * (prompt - unread / 2.0) / 1e6);
 		}
 
-		private double[] causes() {
-			return new double[] { 1, this.tokens, this.calls, this.pairs };
+		private double[] features() {
+			return new double[] { 1, this.tokens, this.calls, this.tokenPairs };
 		}
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartCache.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartCache.java
@@ -13,12 +13,12 @@
 final class PartCache {
 
 	/** The fraction of an engine's KV cache that is assumed to hold shared segments. */
-	private static final double SHARE = 0.5;
+	private static final double SHARED_FRACTION = 0.5;
 
 	/** The maximum number of segments, whatever the capacity of the engine. */
-	private static final int MOST_PARTS = 4_096;
+	private static final int MAX_SEGMENTS = 4_096;
 
-	private final LinkedHashMap<Long, Integer> parts = new LinkedHashMap<>(16, 0.75f, true);
+	private final LinkedHashMap<Long, Integer> segments = new LinkedHashMap<>(16, 0.75f, true);
 
 	private long tokens;
 
@@ -29,17 +29,17 @@
 	 * @return true if the segment was not recorded before
 	 */
 	boolean add(Part part, long memoryTokens) {
-		boolean known = this.parts.put(part.chain(), part.tokens()) != null;
+		boolean known = this.segments.put(part.chain(), part.tokens()) != null;
 		if (!known) {
 			this.tokens += part.tokens();
-			forgetBeyond((long) (memoryTokens * SHARE));
+			evictBeyond((long) (memoryTokens * SHARED_FRACTION));
 		}
 		return !known;
 	}
 
-	private void forgetBeyond(long most) {
-		Iterator<Map.Entry<Long, Integer>> eldest = this.parts.entrySet().iterator();
-		while ((this.tokens > most || this.parts.size() > MOST_PARTS) && this.parts.size() > 1) {
+	private void evictBeyond(long most) {
+		Iterator<Map.Entry<Long, Integer>> eldest = this.segments.entrySet().iterator();
+		while ((this.tokens > most || this.segments.size() > MAX_SEGMENTS) && this.segments.size() > 1) {
 			this.tokens -= eldest.next().getValue();
 			eldest.remove();
 		}
@@ -50,10 +50,10 @@
 	 * @param shared the prompt prefix
 	 * @return the number of tokens before the first segment that is not cached
 	 */
-	int held(SharedParts shared) {
+	int cachedTokens(SharedParts shared) {
 		int held = 0;
 		for (Part part : shared.parts()) {
-			if (!this.parts.containsKey(part.chain())) {
+			if (!this.segments.containsKey(part.chain())) {
 				return held;
 			}
 			held += part.tokens();
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartNews.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartNews.java
@@ -19,15 +19,15 @@
 	 * The maximum number of new segments in a report, which keeps a report well below the
 	 * maximum size of a datagram.
 	 */
-	private static final int MOST = 48;
+	private static final int MAX_SEGMENTS_PER_REPORT = 48;
 
-	private List<Entry> told = List.of();
+	private List<Entry> lastReported = List.of();
 
-	private List<Entry> fresh = new ArrayList<>();
+	private List<Entry> pending = new ArrayList<>();
 
 	void add(Start server, Part part) {
-		if (this.fresh.size() < MOST) {
-			this.fresh.add(new Entry(server, part));
+		if (this.pending.size() < MAX_SEGMENTS_PER_REPORT) {
+			this.pending.add(new Entry(server, part));
 		}
 	}
 
@@ -37,17 +37,17 @@
 	 */
 	Map<Start, List<Part>> take() {
 		Map<Start, List<Part>> news = new HashMap<>();
-		this.told.forEach((entry) -> entry.addTo(news));
-		this.fresh.forEach((entry) -> entry.addTo(news));
-		this.told = this.fresh;
-		this.fresh = new ArrayList<>();
+		this.lastReported.forEach((entry) -> entry.addTo(news));
+		this.pending.forEach((entry) -> entry.addTo(news));
+		this.lastReported = this.pending;
+		this.pending = new ArrayList<>();
 		return news;
 	}
 
-	private record Entry(Start server, Part part) {
+	private record Entry(Start server, Part segment) {
 
 		private void addTo(Map<Start, List<Part>> news) {
-			news.computeIfAbsent(this.server, (_) -> new ArrayList<>()).add(this.part);
+			news.computeIfAbsent(this.server, (_) -> new ArrayList<>()).add(this.segment);
 		}
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/RetryAllowance.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/RetryAllowance.java
@@ -22,25 +22,25 @@
 	 * processes in the small deployments seen, because processes that start and processes
 	 * that stop overlap.
 	 */
-	private static final int LEAST_PARTS = 16;
+	private static final int MIN_SHARES = 16;
 
 	/**
 	 * Shares for each process in the local membership, which may not include all
 	 * processes yet.
 	 */
-	private static final double PARTS_PER_PROCESS = 1.7;
+	private static final double SHARES_PER_PROCESS = 1.7;
 
-	private final double share;
+	private final double retryRatio;
 
 	private final double fixed;
 
-	private int parts = LEAST_PARTS;
+	private int shares = MIN_SHARES;
 
 	private final long windowNanos;
 
 	private final long startedNanos;
 
-	private final Map<String, Windows> services = new HashMap<>();
+	private final Map<String, Attempts> attemptsByService = new HashMap<>();
 
 	/**
 	 * Creates an allowance.
@@ -53,7 +53,7 @@
 	 */
 	public RetryAllowance(double share, double fixed, long windowMillis, long startedNanos) {
 		this.startedNanos = startedNanos;
-		this.share = share;
+		this.retryRatio = share;
 		this.fixed = fixed;
 		this.windowNanos = TimeUnit.MILLISECONDS.toNanos(windowMillis);
 	}
@@ -65,7 +65,7 @@
 	 * @param count the number of processes, including this one
 	 */
 	public void processes(int count) {
-		this.parts = Math.max(LEAST_PARTS, (int) Math.ceil(count * PARTS_PER_PROCESS));
+		this.shares = Math.max(MIN_SHARES, (int) Math.ceil(count * SHARES_PER_PROCESS));
 	}
 
 	/**
@@ -74,7 +74,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void first(String service, long nowNanos) {
-		windows(service, nowNanos).firsts.add(nowNanos);
+		attempts(service, nowNanos).firstAttempts.add(nowNanos);
 	}
 
 	/**
@@ -84,8 +84,9 @@
 	 * @return true if the call may be sent again
 	 */
 	public boolean take(String service, long nowNanos) {
-		Windows windows = windows(service, nowNanos);
-		boolean allowed = windows.retries.size() + 1 <= this.share * windows.firsts.size() + fixed(nowNanos);
+		Attempts windows = attempts(service, nowNanos);
+		boolean allowed = windows.retries.size() + 1 <= this.retryRatio * windows.firstAttempts.size()
+				+ availableFixedRetries(nowNanos);
 		if (allowed) {
 			windows.retries.add(nowNanos);
 		}
@@ -96,13 +97,13 @@
 	// run of this process may have used its fixed share within the same window. If
 	// killed twice in a window, all processes together would use the fixed allowance
 	// three times.
-	private double fixed(long nowNanos) {
-		return (nowNanos - this.startedNanos >= this.windowNanos) ? this.fixed / this.parts : 0;
+	private double availableFixedRetries(long nowNanos) {
+		return (nowNanos - this.startedNanos >= this.windowNanos) ? this.fixed / this.shares : 0;
 	}
 
-	private Windows windows(String service, long nowNanos) {
-		Windows windows = this.services.computeIfAbsent(service, (_) -> new Windows());
-		expire(windows.firsts, nowNanos);
+	private Attempts attempts(String service, long nowNanos) {
+		Attempts windows = this.attemptsByService.computeIfAbsent(service, (_) -> new Attempts());
+		expire(windows.firstAttempts, nowNanos);
 		expire(windows.retries, nowNanos);
 		return windows;
 	}
@@ -113,9 +114,9 @@
 		}
 	}
 
-	private static final class Windows {
+	private static final class Attempts {
 
-		private final Deque<Long> firsts = new ArrayDeque<>();
+		private final Deque<Long> firstAttempts = new ArrayDeque<>();
 
 		private final Deque<Long> retries = new ArrayDeque<>();
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/SharedParts.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/SharedParts.java
@@ -60,7 +60,7 @@
 	 * Returns the hash that calls with the same segments have in common.
 	 * @return the hash of the whole prefix, 0 if it is empty
 	 */
-	public long name() {
+	public long hash() {
 		return this.parts.isEmpty() ? 0 : this.parts.getLast().chain();
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/HeardUsage.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/HeardUsage.java
@@ -23,7 +23,7 @@
  */
 public final class HeardUsage {
 
-	private final TreeMap<Long, Heard> windows = new TreeMap<>();
+	private final TreeMap<Long, ReceivedCounts> windows = new TreeMap<>();
 
 	// -- changes
 
@@ -34,7 +34,7 @@
 	 * @param counts the number of calls by organisation
 	 */
 	public void underWay(long window, String process, Map<String, Long> counts) {
-		heard(window).underWay.put(process, Map.copyOf(counts));
+		receivedCounts(window).countsByProcess.put(process, Map.copyOf(counts));
 	}
 
 	/**
@@ -44,7 +44,7 @@
 	 * @param counts the number of calls by organisation
 	 */
 	public void unwritten(long window, String row, Map<String, Long> counts) {
-		heard(window).rows.put(row, Map.copyOf(counts));
+		receivedCounts(window).unwrittenRows.put(row, Map.copyOf(counts));
 	}
 
 	/**
@@ -65,16 +65,16 @@
 	 */
 	public Map<String, Long> missing(long window, Collection<String> stored) {
 		Map<String, Long> missing = new HashMap<>();
-		Heard heard = this.windows.getOrDefault(window, new Heard());
+		ReceivedCounts heard = this.windows.getOrDefault(window, new ReceivedCounts());
 		Set<String> told = new HashSet<>();
 		stored.forEach((row) -> told.add(process(row)));
-		heard.rows.forEach((row, counts) -> {
+		heard.unwrittenRows.forEach((row, counts) -> {
 			told.add(process(row));
 			if (!stored.contains(row)) {
 				add(missing, counts);
 			}
 		});
-		heard.underWay.forEach((process, counts) -> {
+		heard.countsByProcess.forEach((process, counts) -> {
 			if (!told.contains(process)) {
 				add(missing, counts);
 			}
@@ -82,8 +82,8 @@
 		return missing;
 	}
 
-	private Heard heard(long window) {
-		return this.windows.computeIfAbsent(window, (_) -> new Heard());
+	private ReceivedCounts receivedCounts(long window) {
+		return this.windows.computeIfAbsent(window, (_) -> new ReceivedCounts());
 	}
 
 	private static String process(String row) {
@@ -95,11 +95,11 @@
 	}
 
 	/** The counts received for one window. */
-	private static final class Heard {
+	private static final class ReceivedCounts {
 
-		private final Map<String, Map<String, Long>> underWay = new HashMap<>();
+		private final Map<String, Map<String, Long>> countsByProcess = new HashMap<>();
 
-		private final Map<String, Map<String, Long>> rows = new HashMap<>();
+		private final Map<String, Map<String, Long>> unwrittenRows = new HashMap<>();
 
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/Size.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/Size.java
@@ -11,8 +11,8 @@
 public record Size(String service, String zone, int servers, boolean reclaimable) {
 
 	// Returns the pool to which the size applies.
-	Sort sort() {
-		return new Sort(this.service, this.zone, this.reclaimable);
+	Pool pool() {
+		return new Pool(this.service, this.zone, this.reclaimable);
 	}
 
 	/**
@@ -23,7 +23,7 @@
 	 * @param zone the availability zone
 	 * @param reclaimable whether they run on reclaimable VMs
 	 */
-	record Sort(String service, String zone, boolean reclaimable) {
+	record Pool(String service, String zone, boolean reclaimable) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizeOrders.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizeOrders.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-import org.rosemaryfront.duties.Size.Sort;
+import org.rosemaryfront.duties.Size.Pool;
 import org.rosemaryfront.duties.SizePlan.Plan;
 import org.rosemaryfront.duties.SizePlan.ZoneSize;
 import org.rosemaryfront.routes.ServiceSpec;
@@ -27,10 +27,10 @@
 	 * The time after the boot time within which an ordered server must appear before it
 	 * is ordered again.
 	 */
-	private static final long SHOW_NANOS = TimeUnit.SECONDS.toNanos(4);
+	private static final long APPEARANCE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(4);
 
 	/** The delay before a failed order is repeated. */
-	private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
+	private static final long RETRY_DELAY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	/**
 	 * The fraction of the recently required capacity up to which missing servers are
@@ -40,9 +40,9 @@
 	 * those days; with this fraction 0.19, while the part of the calls served stayed the
 	 * same (0.896 and 0.894).
 	 */
-	private static final double FALLBACK_SHARE = 0.7;
+	private static final double FALLBACK_FRACTION = 0.7;
 
-	private final Map<Sort, Placed> orders = new HashMap<>();
+	private final Map<Pool, PlacedOrder> placedOrders = new HashMap<>();
 
 	// -- orders
 
@@ -57,16 +57,16 @@
 	 */
 	public List<Size> next(ServiceSpec service, Plan plan, Map<String, ZoneSize> present, long nowNanos) {
 		List<Size> sizes = new ArrayList<>();
-		boolean shortOf = isShort(plan, present);
+		boolean shortOf = isShortOfServers(plan, present);
 		plan.zones().forEach((zone, planned) -> {
-			int here = at(present, zone).reclaimable();
+			int here = zoneSize(present, zone).reclaimable();
 			int wanted = shortOf ? Math.max(planned.reclaimable(), here) : planned.reclaimable();
 			order(service, new Size(service.name(), zone, wanted, true), here, nowNanos).ifPresent(sizes::add);
 		});
 		Fallback fallback = fallback(service, plan, present);
 		plan.zones().forEach((zone, planned) -> {
-			Size lasting = new Size(service.name(), zone, planned.lasting() + fallback.servers(zone), false);
-			order(service, lasting, at(present, zone).lasting(), nowNanos).ifPresent(sizes::add);
+			Size lasting = new Size(service.name(), zone, planned.lasting() + fallback.serversIn(zone), false);
+			order(service, lasting, zoneSize(present, zone).lasting(), nowNanos).ifPresent(sizes::add);
 		});
 		return sizes;
 	}
@@ -74,11 +74,11 @@
 	// During a correlated reclaim, a plan that moves servers between zones or kinds of
 	// VM must not release running servers: a live server was released while none of its
 	// replacements was available, and a third of the calls of two seconds were late.
-	private static boolean isShort(Plan plan, Map<String, ZoneSize> present) {
+	private static boolean isShortOfServers(Plan plan, Map<String, ZoneSize> present) {
 		return plan.zones()
 			.entrySet()
 			.stream()
-			.anyMatch((zone) -> at(present, zone.getKey()).reclaimable() < zone.getValue().reclaimable());
+			.anyMatch((zone) -> zoneSize(present, zone.getKey()).reclaimable() < zone.getValue().reclaimable());
 	}
 
 	// The on-demand servers beyond the plan: running ones that are still needed to
@@ -87,20 +87,20 @@
 	private Fallback fallback(ServiceSpec service, Plan plan, Map<String, ZoneSize> present) {
 		Fallback fallback = new Fallback();
 		plan.zones().forEach((zone, planned) -> {
-			ZoneSize here = at(present, zone);
+			ZoneSize here = zoneSize(present, zone);
 			int missing = Math.max(0, planned.reclaimable() - here.reclaimable());
 			int kept = Math.clamp(here.lasting() - planned.lasting(), 0, missing);
 			boolean refused = isRefused(reclaimable(service, zone, planned));
-			fallback.begin(zone, kept, refused ? missing - kept : 0);
+			fallback.initZone(zone, kept, refused ? missing - kept : 0);
 		});
-		int sure = all(present) - atRisk(service, plan, present);
-		int shortOf = Math.max(0, (int) Math.ceil(plan.needOfLate() * FALLBACK_SHARE) - sure);
+		int sure = totalServers(present) - serversAtRisk(service, plan, present);
+		int shortOf = Math.max(0, (int) Math.ceil(plan.recentRequiredServers() * FALLBACK_FRACTION) - sure);
 		// Servers that are booting stay in their zone: if they were cancelled in favour
 		// of a zone refused later, their replacements would have to boot from the
 		// beginning.
 		for (Map.Entry<String, ZoneSize> planned : plan.zones().entrySet()) {
 			String zone = planned.getKey();
-			int booting = lastOrdered(service, zone) - planned.getValue().lasting() - fallback.servers(zone);
+			int booting = lastOrderedServers(service, zone) - planned.getValue().lasting() - fallback.serversIn(zone);
 			shortOf -= fallback.add(zone, Math.clamp(booting, 0, shortOf));
 		}
 		for (String zone : plan.zones().keySet()) {
@@ -114,7 +114,7 @@
 	// third zone are ready only after that zone is terminated, and one of seven servers
 	// was left for five seconds. Once a zone is refused, the reclaimable servers of the
 	// largest zone are therefore not counted as capacity.
-	private int atRisk(ServiceSpec service, Plan plan, Map<String, ZoneSize> present) {
+	private int serversAtRisk(ServiceSpec service, Plan plan, Map<String, ZoneSize> present) {
 		boolean refused = plan.zones()
 			.keySet()
 			.stream()
@@ -122,8 +122,8 @@
 		return refused ? present.values().stream().mapToInt(ZoneSize::reclaimable).max().orElse(0) : 0;
 	}
 
-	private int lastOrdered(ServiceSpec service, String zone) {
-		Placed last = this.orders.get(new Sort(service.name(), zone, false));
+	private int lastOrderedServers(ServiceSpec service, String zone) {
+		PlacedOrder last = this.placedOrders.get(new Pool(service.name(), zone, false));
 		return (last != null) ? last.size.servers() : 0;
 	}
 
@@ -140,22 +140,22 @@
 	 * @return the order, empty if the size is already in force or ordered
 	 */
 	public Optional<Size> order(ServiceSpec service, Size size, int present, long nowNanos) {
-		Placed last = this.orders.get(size.sort());
+		PlacedOrder last = this.placedOrders.get(size.pool());
 		boolean settled = present == size.servers();
 		if (last == null && settled) {
 			return Optional.empty();
 		}
 		if (last != null) {
-			last.note(present);
+			last.recordPresent(present);
 			long bootNanos = TimeUnit.MILLISECONDS.toNanos(service.scaling().orElseThrow().bootMillis());
 			boolean waits = nowNanos - last.notBeforeNanos < 0;
-			boolean due = last.isDue(present, nowNanos, bootNanos + SHOW_NANOS);
+			boolean due = last.isDue(present, nowNanos, bootNanos + APPEARANCE_TIMEOUT_NANOS);
 			boolean inForce = last.size.equals(size) && (settled || !due);
 			if (waits || inForce) {
 				return Optional.empty();
 			}
 		}
-		this.orders.put(size.sort(), new Placed(size, nowNanos, isRefused(size)));
+		this.placedOrders.put(size.pool(), new PlacedOrder(size, nowNanos, isRefused(size)));
 		return Optional.of(size);
 	}
 
@@ -166,7 +166,7 @@
 	 * @param size the order
 	 */
 	public void taken(Size size) {
-		placed(size).ifPresent((order) -> order.refused = false);
+		findPlaced(size).ifPresent((order) -> order.refused = false);
 	}
 
 	/**
@@ -177,10 +177,10 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void failed(Size size, boolean noneAvailable, long nowNanos) {
-		placed(size).ifPresent((order) -> {
+		findPlaced(size).ifPresent((order) -> {
 			order.failed = true;
 			order.refused |= noneAvailable;
-			order.notBeforeNanos = nowNanos + RETRY_NANOS;
+			order.notBeforeNanos = nowNanos + RETRY_DELAY_NANOS;
 		});
 	}
 
@@ -188,19 +188,19 @@
 	// previous one. If a pending order counted as accepted, it would cancel the fallback
 	// servers every second, although they need four seconds to boot.
 	private boolean isRefused(Size size) {
-		Placed order = this.orders.get(size.sort());
+		PlacedOrder order = this.placedOrders.get(size.pool());
 		return order != null && order.refused;
 	}
 
-	private Optional<Placed> placed(Size size) {
-		return Optional.ofNullable(this.orders.get(size.sort())).filter((order) -> order.size.equals(size));
+	private Optional<PlacedOrder> findPlaced(Size size) {
+		return Optional.ofNullable(this.placedOrders.get(size.pool())).filter((order) -> order.size.equals(size));
 	}
 
-	private static ZoneSize at(Map<String, ZoneSize> present, String zone) {
+	private static ZoneSize zoneSize(Map<String, ZoneSize> present, String zone) {
 		return present.getOrDefault(zone, ZoneSize.NONE);
 	}
 
-	private static int all(Map<String, ZoneSize> present) {
+	private static int totalServers(Map<String, ZoneSize> present) {
 		return present.values().stream().mapToInt(ZoneSize::servers).sum();
 	}
 
@@ -209,34 +209,34 @@
 
 		private final Map<String, Integer> servers = new HashMap<>();
 
-		private final Map<String, Integer> room = new HashMap<>();
+		private final Map<String, Integer> remainingByZone = new HashMap<>();
 
-		private void begin(String zone, int kept, int more) {
+		private void initZone(String zone, int kept, int more) {
 			this.servers.put(zone, kept);
-			this.room.put(zone, more);
+			this.remainingByZone.put(zone, more);
 		}
 
-		private int servers(String zone) {
+		private int serversIn(String zone) {
 			return this.servers.getOrDefault(zone, 0);
 		}
 
 		// Adds as many servers as the remaining limit of the zone allows and returns
 		// their number.
 		private int add(String zone, int wanted) {
-			int added = Math.min(wanted, this.room.get(zone));
+			int added = Math.min(wanted, this.remainingByZone.get(zone));
 			this.servers.merge(zone, added, Integer::sum);
-			this.room.merge(zone, -added, Integer::sum);
+			this.remainingByZone.merge(zone, -added, Integer::sum);
 			return added;
 		}
 
 	}
 
 	/** The last order of a pool. */
-	private static final class Placed {
+	private static final class PlacedOrder {
 
 		private final Size size;
 
-		private final long atNanos;
+		private final long placedNanos;
 
 		private long notBeforeNanos;
 
@@ -246,24 +246,24 @@
 		private boolean failed;
 
 		/** The maximum number of servers present since the order was placed. */
-		private int most;
+		private int maxPresent;
 
-		private Placed(Size size, long nowNanos, boolean refused) {
+		private PlacedOrder(Size size, long nowNanos, boolean refused) {
 			this.size = size;
-			this.atNanos = nowNanos;
+			this.placedNanos = nowNanos;
 			this.notBeforeNanos = nowNanos;
 			this.refused = refused;
 		}
 
-		private void note(int present) {
-			this.most = Math.max(this.most, present);
+		private void recordPresent(int present) {
+			this.maxPresent = Math.max(this.maxPresent, present);
 		}
 
 		// Servers that were present and no longer are have been reclaimed. Waiting for
 		// them as for booting servers would waste the notice period of a few seconds.
 		private boolean isDue(int present, long nowNanos, long mostNanos) {
-			boolean fewer = present < this.most;
-			return this.failed || fewer || nowNanos - this.atNanos >= mostNanos;
+			boolean fewer = present < this.maxPresent;
+			return this.failed || fewer || nowNanos - this.placedNanos >= mostNanos;
 		}
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizePlan.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizePlan.java
@@ -26,35 +26,35 @@
 	 * factor of a hundred; at a utilisation of 0.65 the waiting time in the queue is
 	 * about twice the prefill time, well within the latency targets seen.
 	 */
-	private static final double READING_SHARE = 0.65;
+	private static final double PREFILL_UTILISATION = 0.65;
 
 	/** The planned utilisation of an engine's slots. */
-	private static final double SLOT_SHARE = 0.4;
+	private static final double SLOT_UTILISATION = 0.4;
 
 	/**
 	 * The fraction of the initial number of servers that is assumed to be required until
 	 * traffic shows the actual requirement.
 	 */
-	private static final double FIRST_SHARE = 0.6;
+	private static final double INITIAL_FRACTION = 0.6;
 
 	/**
 	 * How long the initial requirement applies; traffic begins some time after the
 	 * processes start.
 	 */
-	private static final long FIRST_NANOS = TimeUnit.SECONDS.toNanos(30);
+	private static final long INITIAL_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(30);
 
 	/**
 	 * How long a peak of the required capacity is retained. With a shorter retention,
 	 * servers released after a traffic peak are needed again half a minute later and
 	 * start with cold caches.
 	 */
-	private static final long PEAK_NANOS = TimeUnit.SECONDS.toNanos(25);
+	private static final long PEAK_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(25);
 
 	/**
 	 * The age up to which peaks of the required capacity still count when an order is
 	 * carried out.
 	 */
-	private static final long LATE_NANOS = TimeUnit.SECONDS.toNanos(6);
+	private static final long RECENT_PEAK_NANOS = TimeUnit.SECONDS.toNanos(6);
 
 	/**
 	 * The fraction of the required capacity that the reclaimable servers of a single zone
@@ -63,41 +63,41 @@
 	 * seconds. With an on-demand server instead of each spare reclaimable one, days with
 	 * two correlated reclaims cost the same and were short of servers in both.
 	 */
-	private static final double LAST_ZONE_SHARE = 0.6;
+	private static final double SINGLE_ZONE_FRACTION = 0.6;
 
 	/**
-	 * The fraction of the required capacity beyond {@link #LOSABLE} that runs on
+	 * The fraction of the required capacity beyond {@link #NEVER_ON_DEMAND} that runs on
 	 * on-demand VMs. Reclaims are correlated and go from zone to zone while no other VM
 	 * is available: without on-demand VMs a single one takes every server of the service.
 	 * On a day with four reclaims and otherwise low load, a fraction of 0.65 instead of
 	 * 0.4 raised the benefit from 0.79 to 0.92.
 	 */
-	private static final double LASTING_SHARE = 0.65;
+	private static final double ON_DEMAND_FRACTION = 0.65;
 
 	/**
 	 * The minimum number of on-demand servers of a service. Without any, a correlated
 	 * reclaim of all zones left no server for models for 16 s of a day, and no order
 	 * could be carried out.
 	 */
-	private static final int LASTING_LEAST = 1;
+	private static final int MIN_ON_DEMAND = 1;
 
 	/**
 	 * The part of the required capacity, in servers, that is never on on-demand VMs:
 	 * rounding up to whole servers in each zone gives a small service about this much
 	 * spare capacity.
 	 */
-	private static final double LOSABLE = 1.5;
+	private static final double NEVER_ON_DEMAND = 1.5;
 
-	private final Deque<Need> recent = new ArrayDeque<>();
+	private final Deque<CapacitySample> peaks = new ArrayDeque<>();
 
 	/**
 	 * The initial required capacity until traffic shows the actual one; grows as servers
 	 * register.
 	 */
-	private double firstNeed;
+	private double initialRequired;
 
 	/** When the initial required capacity expires; empty before the first plan. */
-	private OptionalLong firstUntilNanos = OptionalLong.empty();
+	private OptionalLong initialUntilNanos = OptionalLong.empty();
 
 	/**
 	 * Plans the size of a service.
@@ -110,13 +110,13 @@
 	public Plan plan(ServiceSpec service, List<String> zones, Demand demand, long nowNanos) {
 		ServiceSpec.ScalingSpec bounds = service.scaling().orElseThrow();
 		int slots = service.engine().map(ServiceSpec.EngineSpec::slots).orElse(1);
-		double reading = demand.tokensPerSecond() / demand.serverTokensPerSecond() / READING_SHARE;
-		double generating = demand.running() / (slots * SLOT_SHARE);
+		double reading = demand.tokensPerSecond() / demand.serverTokensPerSecond() / PREFILL_UTILISATION;
+		double generating = demand.runningCalls() / (slots * SLOT_UTILISATION);
 		double now = Math.max(reading, generating);
-		double need = Math.max(first(demand, nowNanos), peak(now, nowNanos));
-		double ofLate = needOfLate(now, nowNanos);
-		int lasting = lasting(need, bounds, zones.size());
-		int each = eachZone(need, lasting, bounds, zones.size());
+		double need = Math.max(initialRequiredServers(demand, nowNanos), retainedPeak(now, nowNanos));
+		double ofLate = recentPeak(now, nowNanos);
+		int lasting = onDemandServers(need, bounds, zones.size());
+		int each = reclaimablePerZone(need, lasting, bounds, zones.size());
 		Map<String, ZoneSize> sizes = new LinkedHashMap<>();
 		for (int i = 0; i < zones.size(); i++) {
 			int kept = Math.min(bounds.max(), lasting / zones.size() + ((i < lasting % zones.size()) ? 1 : 0));
@@ -132,63 +132,63 @@
 		return bounds.reclaimablePrice() * zones < 1;
 	}
 
-	private static int lasting(double need, ServiceSpec.ScalingSpec bounds, int zones) {
-		int share = (int) Math.round((need - LOSABLE) * LASTING_SHARE);
-		return sparesAreCheap(bounds, zones) ? LASTING_LEAST : Math.max(LASTING_LEAST, share);
+	private static int onDemandServers(double need, ServiceSpec.ScalingSpec bounds, int zones) {
+		int share = (int) Math.round((need - NEVER_ON_DEMAND) * ON_DEMAND_FRACTION);
+		return sparesAreCheap(bounds, zones) ? MIN_ON_DEMAND : Math.max(MIN_ON_DEMAND, share);
 	}
 
 	// Enough for the required capacity when one zone is lost, and for a fraction of it
 	// when all zones but one are lost.
-	private static int eachZone(double need, int lasting, ServiceSpec.ScalingSpec bounds, int zones) {
+	private static int reclaimablePerZone(double need, int lasting, ServiceSpec.ScalingSpec bounds, int zones) {
 		int withoutOne = (int) Math.ceil((need - lasting) / Math.max(1, zones - 1));
-		int onlyOne = (int) Math.ceil(need * LAST_ZONE_SHARE - lasting);
+		int onlyOne = (int) Math.ceil(need * SINGLE_ZONE_FRACTION - lasting);
 		return sparesAreCheap(bounds, zones) ? Math.max(withoutOne, onlyOne) : withoutOne;
 	}
 
 	// The peak of the required capacity within the time that it takes to carry out an
 	// order.
-	private double needOfLate(double now, long nowNanos) {
-		return this.recent.stream()
-			.filter((need) -> nowNanos - need.atNanos() <= LATE_NANOS)
-			.mapToDouble(Need::need)
+	private double recentPeak(double now, long nowNanos) {
+		return this.peaks.stream()
+			.filter((need) -> nowNanos - need.atNanos() <= RECENT_PEAK_NANOS)
+			.mapToDouble(CapacitySample::required)
 			.reduce(now, Math::max);
 	}
 
 	// Before there is traffic, the initial number of servers is the best available
 	// estimate. The servers register one after the other, so that the first plan sees
 	// only some of them.
-	private double first(Demand demand, long nowNanos) {
-		if (this.firstUntilNanos.isEmpty()) {
-			this.firstUntilNanos = OptionalLong.of(nowNanos + FIRST_NANOS);
+	private double initialRequiredServers(Demand demand, long nowNanos) {
+		if (this.initialUntilNanos.isEmpty()) {
+			this.initialUntilNanos = OptionalLong.of(nowNanos + INITIAL_PERIOD_NANOS);
 		}
-		if (nowNanos - this.firstUntilNanos.getAsLong() >= 0) {
+		if (nowNanos - this.initialUntilNanos.getAsLong() >= 0) {
 			return 0;
 		}
-		this.firstNeed = Math.max(this.firstNeed, demand.lasting() * FIRST_SHARE);
-		return this.firstNeed;
+		this.initialRequired = Math.max(this.initialRequired, demand.lasting() * INITIAL_FRACTION);
+		return this.initialRequired;
 	}
 
-	private double peak(double need, long nowNanos) {
-		while (!this.recent.isEmpty() && nowNanos - this.recent.getFirst().atNanos() > PEAK_NANOS) {
-			this.recent.removeFirst();
+	private double retainedPeak(double need, long nowNanos) {
+		while (!this.peaks.isEmpty() && nowNanos - this.peaks.getFirst().atNanos() > PEAK_RETENTION_NANOS) {
+			this.peaks.removeFirst();
 		}
-		while (!this.recent.isEmpty() && this.recent.getLast().need() <= need) {
-			this.recent.removeLast();
+		while (!this.peaks.isEmpty() && this.peaks.getLast().required() <= need) {
+			this.peaks.removeLast();
 		}
-		this.recent.addLast(new Need(need, nowNanos));
-		return this.recent.getFirst().need();
+		this.peaks.addLast(new CapacitySample(need, nowNanos));
+		return this.peaks.getFirst().required();
 	}
 
 	/**
 	 * A plan for one service.
 	 *
-	 * @param need the servers required to meet the latency targets, including recent
-	 * peaks
-	 * @param needOfLate the servers required in the last seconds
+	 * @param requiredServers the servers required to meet the latency targets, including
+	 * recent peaks
+	 * @param recentRequiredServers the servers required in the last seconds
 	 * @param zones the planned servers of each zone, including those that replace a lost
 	 * zone
 	 */
-	public record Plan(double need, double needOfLate, Map<String, ZoneSize> zones) {
+	public record Plan(double requiredServers, double recentRequiredServers, Map<String, ZoneSize> zones) {
 	}
 
 	/**
@@ -198,10 +198,10 @@
 	 * without tokens found in caches
 	 * @param serverTokensPerSecond the prompt tokens that one server prefills per second
 	 * in addition to its other work
-	 * @param running the number of running calls
+	 * @param runningCalls the number of running calls
 	 * @param lasting the number of its on-demand servers
 	 */
-	public record Demand(double tokensPerSecond, double serverTokensPerSecond, int running, int lasting) {
+	public record Demand(double tokensPerSecond, double serverTokensPerSecond, int runningCalls, int lasting) {
 	}
 
 	/**
@@ -225,7 +225,7 @@
 
 	}
 
-	private record Need(double need, long atNanos) {
+	private record CapacitySample(double required, long atNanos) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/UsageLedger.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/UsageLedger.java
@@ -16,11 +16,11 @@
 	 * that is being processed on the traffic thread belongs to the window in which its
 	 * call began.
 	 */
-	private static final long SETTLE_MILLIS = 200;
+	private static final long GRACE_MILLIS = 200;
 
 	private final long windowMillis;
 
-	private final TreeMap<Long, TreeMap<String, Long>> open = new TreeMap<>();
+	private final TreeMap<Long, TreeMap<String, Long>> openWindows = new TreeMap<>();
 
 	/**
 	 * Creates an empty ledger.
@@ -36,7 +36,7 @@
 	 * @param epochMillis when the call began to run, in milliseconds since 1970
 	 */
 	public void began(String organisation, long epochMillis) {
-		this.open.computeIfAbsent(epochMillis / this.windowMillis, (_) -> new TreeMap<>())
+		this.openWindows.computeIfAbsent(epochMillis / this.windowMillis, (_) -> new TreeMap<>())
 			.merge(organisation, 1L, Long::sum);
 	}
 
@@ -47,7 +47,7 @@
 	 */
 	public Window current(long epochMillis) {
 		long index = epochMillis / this.windowMillis;
-		return new Window(index, this.open.getOrDefault(index, new TreeMap<>()));
+		return new Window(index, this.openWindows.getOrDefault(index, new TreeMap<>()));
 	}
 
 	/**
@@ -57,9 +57,9 @@
 	 */
 	public List<Window> close(long epochMillis) {
 		List<Window> closed = new ArrayList<>();
-		long current = (epochMillis - SETTLE_MILLIS) / this.windowMillis;
-		while (!this.open.isEmpty() && this.open.firstKey() < current) {
-			Map.Entry<Long, TreeMap<String, Long>> oldest = this.open.pollFirstEntry();
+		long current = (epochMillis - GRACE_MILLIS) / this.windowMillis;
+		while (!this.openWindows.isEmpty() && this.openWindows.firstKey() < current) {
+			Map.Entry<Long, TreeMap<String, Long>> oldest = this.openWindows.pollFirstEntry();
 			closed.add(new Window(oldest.getKey(), oldest.getValue()));
 		}
 		return closed;
@@ -72,8 +72,8 @@
 	 */
 	public List<Window> closeAll() {
 		List<Window> closed = new ArrayList<>();
-		this.open.forEach((index, counts) -> closed.add(new Window(index, counts)));
-		this.open.clear();
+		this.openWindows.forEach((index, counts) -> closed.add(new Window(index, counts)));
+		this.openWindows.clear();
 		return closed;
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/ServiceSpec.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/ServiceSpec.java
@@ -20,16 +20,16 @@
 	 * @param slots the maximum number of requests that it runs concurrently
 	 * @param kvTokens the capacity of its KV cache, in tokens
 	 * @param tokenBytes the size of a token in the KV cache, in bytes; 0 if unknown
-	 * @param linkMegabits the transfer rate to another engine, in megabits per second; 0
-	 * if unknown
+	 * @param linkMegabitsPerSecond the transfer rate to another engine, in megabits per
+	 * second; 0 if unknown
 	 */
-	public record EngineSpec(int slots, long kvTokens, long tokenBytes, double linkMegabits) {
+	public record EngineSpec(int slots, long kvTokens, long tokenBytes, double linkMegabitsPerSecond) {
 
 		/**
 		 * The minimum duration of a transfer from another engine, in milliseconds: a few
 		 * round trips between availability zones.
 		 */
-		private static final double FETCH_SETUP_MILLIS = 5;
+		private static final double TRANSFER_SETUP_MILLIS = 5;
 
 		/**
 		 * Returns how long the transfer of KV cache entries from one engine to another
@@ -38,9 +38,9 @@
 		 * @return the time in milliseconds, infinite if the engines do not support
 		 * transfers
 		 */
-		public double fetchMillis(long tokens) {
-			boolean able = this.tokenBytes > 0 && this.linkMegabits > 0;
-			return able ? FETCH_SETUP_MILLIS + tokens * this.tokenBytes * 8 / (this.linkMegabits * 1_000)
+		public double transferMillis(long tokens) {
+			boolean able = this.tokenBytes > 0 && this.linkMegabitsPerSecond > 0;
+			return able ? TRANSFER_SETUP_MILLIS + tokens * this.tokenBytes * 8 / (this.linkMegabitsPerSecond * 1_000)
 					: Double.POSITIVE_INFINITY;
 		}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/TrafficConfiguration.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/TrafficConfiguration.java
@@ -36,7 +36,8 @@
 		this.routesByHost = new HashMap<>();
 		routes.stream()
 			.sorted(Comparator.comparingInt((Route route) -> route.prefix().length()).reversed())
-			.forEach((route) -> this.routesByHost.merge(route.host(), List.of(route), TrafficConfiguration::joined));
+			.forEach((route) -> this.routesByHost.merge(route.host(), List.of(route),
+					TrafficConfiguration::concatenate));
 		this.services = new HashMap<>();
 		services.forEach((service) -> this.services.put(service.name(), service));
 		organisations.forEach(
@@ -141,7 +142,7 @@
 		}
 	}
 
-	private static List<Route> joined(List<Route> first, List<Route> second) {
+	private static List<Route> concatenate(List<Route> first, List<Route> second) {
 		List<Route> all = new ArrayList<>(first);
 		all.addAll(second);
 		return List.copyOf(all);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/BackendTableTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/BackendTableTests.java
@@ -18,7 +18,7 @@
 	// as leaving, made the server eligible for calls again.
 	@ParameterizedTest
 	@CsvSource({ "5000, 6", "5000, 7", "4000, 9" })
-	void shouldNotTakeOlderRegistrationBehindTheWordThatServerLeaves(long startedMillis, long sequence) {
+	void shouldIgnoreOlderRegistrationWhenServerIsLeaving(long startedMillis, long sequence) {
 		this.table.registered(server(START, 7, true), 0);
 		assertThat(this.table.registered(server(startedMillis, sequence, false), 1)).isFalse();
 		assertThat(this.table.takers()).isEmpty();
@@ -26,7 +26,7 @@
 
 	// The same fault if the registration ended in between.
 	@Test
-	void shouldNotTakeOlderRegistrationOfServerThatWasDropped() {
+	void shouldIgnoreOlderRegistrationWhenServerWasRemoved() {
 		this.table.registered(server(START, 7, true), 0);
 		this.table.lapsed("s1", 1, OptionalLong.empty());
 		this.table.expire(1);
@@ -36,7 +36,7 @@
 
 	@ParameterizedTest
 	@CsvSource({ "5000, 8", "6000, 1" })
-	void shouldTakeServerThatRegistersLater(long startedMillis, long sequence) {
+	void shouldAddServerWhenRegistrationIsNewer(long startedMillis, long sequence) {
 		this.table.registered(server(START, 7, true), 0);
 		this.table.lapsed("s1", 1, OptionalLong.empty());
 		this.table.expire(1);
@@ -45,7 +45,7 @@
 	}
 
 	@Test
-	void shouldSeeNoChangeInTheNumberAlone() {
+	void shouldReportNoChangeWhenOnlySequenceIsNewer() {
 		this.table.registered(server(START, 7, false), 0);
 		assertThat(this.table.registered(server(START, 8, false), 1)).isFalse();
 		assertThat(this.table.registered(server(START, 7, true), 1)).isFalse();
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/DispatcherTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/DispatcherTests.java
@@ -29,7 +29,7 @@
 	private static final long LONG_AGO = -TimeUnit.MINUTES.toNanos(5);
 
 	/** The capacity of an engine's KV cache, in tokens. */
-	private static final long MEMORY = 700_000;
+	private static final long CACHE_TOKENS = 700_000;
 
 	private final BackendTable table = new BackendTable();
 
@@ -48,13 +48,13 @@
 	// the prefix again until no prefix stays in any cache, and half of the prefill
 	// capacity is lost.
 	@Test
-	void shouldKeepPartAtOneServerWhenItHasRoom() {
+	void shouldUseOneServerForPrefixWhenItHasCapacity() {
 		Set<String> used = new HashSet<>();
 		for (int i = 0; i < 4; i++) {
-			BackendServer chosen = chosen(prompt("part", 800));
+			BackendServer chosen = chosen(promptRequirements("part", 800));
 			used.add(chosen.id());
 			this.table.sent(start(chosen.id()), 0);
-			this.table.reads(start(chosen.id()), shared("part"), MEMORY);
+			this.table.reads(start(chosen.id()), prefix("part"), CACHE_TOKENS);
 		}
 		assertThat(used).hasSize(1);
 	}
@@ -63,11 +63,11 @@
 	// assumed that servers cached them by the common order, a third of them were
 	// prefilled again at each call.
 	@Test
-	void shouldSendPartToServerThatReadItForAnotherProcess() {
+	void shouldChooseServerWhenItPrefilledPrefixForAnotherProcess() {
 		for (String holder : List.of("s1", "s2", "s3")) {
-			SharedParts shared = shared("part of " + holder);
-			this.table.othersRead(start(holder), shared.parts(), MEMORY);
-			assertThat(chosen(wish(shared, 800)).id()).isEqualTo(holder);
+			SharedParts shared = prefix("part of " + holder);
+			this.table.othersRead(start(holder), shared.parts(), CACHE_TOKENS);
+			assertThat(chosen(requirements(shared, 800)).id()).isEqualTo(holder);
 		}
 	}
 
@@ -75,10 +75,10 @@
 	// another server takes 60 ms of engine time and delays the calls queued there; a
 	// transfer takes a few milliseconds.
 	@Test
-	void shouldFetchPartsFromServerThatIsBehind() {
-		this.table.reads(start("s1"), shared("part"), MEMORY);
+	void shouldTransferSegmentsWhenCachingServerHasLongQueue() {
+		this.table.reads(start("s1"), prefix("part"), CACHE_TOKENS);
 		this.table.sent(start("s1"), 40_000);
-		Choice.Chosen chosen = choose(wish(shared("part"), 800));
+		Choice.Chosen chosen = choose(requirements(prefix("part"), 800));
 		assertThat(chosen.server().id()).isNotEqualTo("s1");
 		assertThat(chosen.fetchFrom()).map(BackendServer::id).contains("s1");
 		assertThat(chosen.unreadTokens()).isEqualTo(800);
@@ -87,19 +87,19 @@
 	// After the reclaim notice for a zone its servers accept no new calls, but their
 	// caches remain available for two more seconds.
 	@Test
-	void shouldFetchPartsFromServerThatLeaves() {
-		this.table.reads(start("s1"), shared("part"), MEMORY);
+	void shouldTransferSegmentsWhenCachingServerIsLeaving() {
+		this.table.reads(start("s1"), prefix("part"), CACHE_TOKENS);
 		this.table.registered(server("s1", true), 0);
-		assertThat(choose(wish(shared("part"), 800)).fetchFrom()).map(BackendServer::id).contains("s1");
+		assertThat(choose(requirements(prefix("part"), 800)).fetchFrom()).map(BackendServer::id).contains("s1");
 	}
 
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 160_000 })
-	void shouldReadPartsThatCannotBeFetchedInLessTime(long tokenBytes) {
-		this.table.reads(start("s1"), shared("part"), MEMORY);
+	void shouldPrefillSegmentsWhenTransferIsNotFaster(long tokenBytes) {
+		this.table.reads(start("s1"), prefix("part"), CACHE_TOKENS);
 		this.table.sent(start("s1"), 40_000);
-		EngineSpec slow = new EngineSpec(4, MEMORY, tokenBytes, 1_000);
-		Choice.Chosen chosen = choose(new Wish("llm", shared("part"), Optional.of(slow), 800, 10_000, 0));
+		EngineSpec slow = new EngineSpec(4, CACHE_TOKENS, tokenBytes, 1_000);
+		Choice.Chosen chosen = choose(new Wish("llm", prefix("part"), Optional.of(slow), 800, 10_000, 0));
 		assertThat(chosen.fetchFrom()).isEmpty();
 		assertThat(chosen.unreadTokens()).isEqualTo(4_800);
 	}
@@ -107,39 +107,39 @@
 	// A cached segment can be reused only after the same preceding segments: the same
 	// text after another beginning has other KV cache entries.
 	@Test
-	void shouldCountPartsOnlyBehindTheSameBeginning() {
-		this.table.reads(start("s1"), SharedParts.of(List.of("a", "b"), List.of(1_000, 3_000)), MEMORY);
+	void shouldReuseSegmentsOnlyWhenPrecedingSegmentsMatch() {
+		this.table.reads(start("s1"), SharedParts.of(List.of("a", "b"), List.of(1_000, 3_000)), CACHE_TOKENS);
 		SharedParts other = SharedParts.of(List.of("c", "b"), List.of(1_000, 3_000));
-		assertThat(choose(wish(other, 800)).unreadTokens()).isEqualTo(4_800);
+		assertThat(choose(requirements(other, 800)).unreadTokens()).isEqualTo(4_800);
 		SharedParts longer = SharedParts.of(List.of("a", "d"), List.of(1_000, 3_000));
-		assertThat(choose(wish(longer, 800)).unreadTokens()).isEqualTo(3_800);
+		assertThat(choose(requirements(longer, 800)).unreadTokens()).isEqualTo(3_800);
 	}
 
 	// An engine's KV cache is limited; the least recently used segments are evicted.
 	@Test
-	void shouldForgetPartsBeyondMemory() {
+	void shouldEvictSegmentsWhenCacheIsFull() {
 		for (int i = 0; i < 40; i++) {
-			this.table.reads(start("s1"), shared("part " + i), 80_000);
+			this.table.reads(start("s1"), prefix("part " + i), 80_000);
 		}
-		assertThat(choose(wish(shared("part 0"), 800)).unreadTokens()).isEqualTo(4_800);
-		assertThat(choose(wish(shared("part 39"), 800)).unreadTokens()).isEqualTo(800);
+		assertThat(choose(requirements(prefix("part 0"), 800)).unreadTokens()).isEqualTo(4_800);
+		assertThat(choose(requirements(prefix("part 39"), 800)).unreadTokens()).isEqualTo(800);
 	}
 
 	@Test
-	void shouldForgetPartsOfServerThatStartsAgain() {
-		this.table.reads(start("s1"), shared("part"), MEMORY);
-		this.table.registered(started("s1", 77, false), LONG_AGO);
-		this.table.othersRead(start("s1"), shared("part").parts(), MEMORY);
-		assertThat(choose(wish(shared("part"), 800)).unreadTokens()).isEqualTo(4_800);
+	void shouldDiscardSegmentsWhenServerRestarts() {
+		this.table.reads(start("s1"), prefix("part"), CACHE_TOKENS);
+		this.table.registered(serverStartedAt("s1", 77, false), LONG_AGO);
+		this.table.othersRead(start("s1"), prefix("part").parts(), CACHE_TOKENS);
+		assertThat(choose(requirements(prefix("part"), 800)).unreadTokens()).isEqualTo(4_800);
 	}
 
 	// Each segment is reported to the other processes twice, since a report may be lost.
 	@Test
-	void shouldTellPartsTwice() {
-		this.table.reads(start("s1"), shared("part"), MEMORY);
-		this.table.reads(start("s1"), shared("part"), MEMORY);
-		assertThat(this.table.partsToTell()).containsEntry(start("s1"), shared("part").parts());
-		assertThat(this.table.partsToTell()).containsEntry(start("s1"), shared("part").parts());
+	void shouldReportSegmentsTwice() {
+		this.table.reads(start("s1"), prefix("part"), CACHE_TOKENS);
+		this.table.reads(start("s1"), prefix("part"), CACHE_TOKENS);
+		assertThat(this.table.partsToTell()).containsEntry(start("s1"), prefix("part").parts());
+		assertThat(this.table.partsToTell()).containsEntry(start("s1"), prefix("part").parts());
 		assertThat(this.table.partsToTell()).isEmpty();
 	}
 
@@ -147,7 +147,7 @@
 	// caches assumed, every prompt seemed to need a full prefill and calls that were due
 	// were rejected.
 	@Test
-	void shouldTakeServersFoundAtStartAsWarm() {
+	void shouldAssumeWarmCacheWhenServerWasRegisteredAtStart() {
 		BackendTable restarted = new BackendTable();
 		restarted.foundAtStart(server("s1", false));
 		BackendTable scaledOut = new BackendTable();
@@ -160,37 +160,37 @@
 	// One prefix is requested far more often than others: calls would queue at its
 	// server while other servers are idle.
 	@Test
-	void shouldSpreadPartWhenItsServerIsBehind() {
-		BackendServer first = chosen(prompt("part", 800));
+	void shouldUseAnotherServerWhenCachingServerHasLongQueue() {
+		BackendServer first = chosen(promptRequirements("part", 800));
 		this.table.sent(start(first.id()), 100_000);
-		assertThat(chosen(prompt("part", 2_000)).id()).isNotEqualTo(first.id());
+		assertThat(chosen(promptRequirements("part", 2_000)).id()).isNotEqualTo(first.id());
 	}
 
 	@Test
-	void shouldSpreadDifferentPartsOverServers() {
+	void shouldUseAllServersWhenPrefixesDiffer() {
 		Set<String> used = new HashSet<>();
 		for (int i = 0; i < 50; i++) {
-			used.add(chosen(prompt("part-" + i, 800)).id());
+			used.add(chosen(promptRequirements("part-" + i, 800)).id());
 		}
 		assertThat(used).hasSize(3);
 	}
 
 	@Test
-	void shouldCountWhatOtherProcessesHaveThere() {
-		BackendServer first = chosen(prompt("part", 2_000));
+	void shouldUseAnotherServerWhenOtherProcessesLoadIt() {
+		BackendServer first = chosen(promptRequirements("part", 2_000));
 		this.table.othersAt("gateway-2", Map.of(first.start(), new BackendUse(9, 100_000)));
-		assertThat(chosen(prompt("part", 2_000)).id()).isNotEqualTo(first.id());
+		assertThat(chosen(promptRequirements("part", 2_000)).id()).isNotEqualTo(first.id());
 		this.table.othersAt("gateway-2", Map.of());
-		assertThat(chosen(prompt("part", 2_000))).isEqualTo(first);
+		assertThat(chosen(promptRequirements("part", 2_000))).isEqualTo(first);
 	}
 
 	@Test
-	void shouldShunServerWhoseFirstTokensAreSlow() {
-		BackendServer first = chosen(prompt("part", 2_000));
+	void shouldUseAnotherServerWhenFirstTokensAreSlow() {
+		BackendServer first = chosen(promptRequirements("part", 2_000));
 		for (int i = 0; i < 30; i++) {
 			this.table.firstToken(start(first.id()), 100, 900);
 		}
-		assertThat(chosen(prompt("part", 2_000)).id()).isNotEqualTo(first.id());
+		assertThat(chosen(promptRequirements("part", 2_000)).id()).isNotEqualTo(first.id());
 	}
 
 	// -- rejection of calls
@@ -200,7 +200,7 @@
 	// first token cannot be in time is rejected immediately, less urgent calls first.
 	@ParameterizedTest
 	@ValueSource(ints = { 0, 1, 2 })
-	void shouldRefuseLessUrgentCallsFirst(int priority) {
+	void shouldRejectLessUrgentCallsFirstWhenServersAreOverloaded(int priority) {
 		List<Integer> taken = new ArrayList<>();
 		for (String id : List.of("s1", "s2", "s3")) {
 			this.table.sent(start(id), 40_000);
@@ -219,7 +219,7 @@
 	// stream was broken off although other servers were idle.
 	@ParameterizedTest
 	@CsvSource({ "true, 2000", "false, 0" })
-	void shouldNotRefuseForItsAgeWhatHasRun(boolean ran, long millisLeft) {
+	void shouldNotRejectLateCallWhenItHasRun(boolean ran, long millisLeft) {
 		long left = Wish.millisLeft(600 - 2_600, 2_000, ran);
 		assertThat(left).isEqualTo(millisLeft);
 		Wish wish = new Wish("llm", SharedParts.none(), Optional.empty(), 1_000, left, 0);
@@ -228,33 +228,34 @@
 	}
 
 	@Test
-	void shouldRefuseWhenAllSlotsAreTaken() {
+	void shouldRejectWhenAllSlotsAreInUse() {
 		for (String id : List.of("s1", "s2", "s3")) {
 			for (int i = 0; i < 4; i++) {
 				this.table.sent(start(id), 0);
 			}
 		}
-		assertThat(this.dispatcher.choose(plain(), Set.of(), 0)).isEqualTo(new Choice.Full(3, 0));
+		assertThat(this.dispatcher.choose(withoutPrompt(), Set.of(), 0)).isEqualTo(new Choice.Full(3, 0));
 	}
 
 	@Test
 	void shouldFindNoServerWhenAllWereTried() {
-		assertThat(this.dispatcher.choose(plain(), Set.of("s1", "s2", "s3"), 0)).isEqualTo(new Choice.NoServer());
+		assertThat(this.dispatcher.choose(withoutPrompt(), Set.of("s1", "s2", "s3"), 0))
+			.isEqualTo(new Choice.NoServer());
 	}
 
 	// -- calls without a prompt
 
 	@Test
-	void shouldPreferOwnZoneAmongEquallyLoaded() {
+	void shouldPreferOwnZoneWhenLoadIsEqual() {
 		this.table.registered(new BackendServer("s0", 0, "llm", "v1", "h:1", "b", 4, false, false, 0), LONG_AGO);
-		assertThat(chosen(plain()).zone()).isEqualTo("a");
+		assertThat(chosen(withoutPrompt()).zone()).isEqualTo("a");
 	}
 
 	@Test
-	void shouldTakeTurnsAmongEquallyLoaded() {
+	void shouldUseServersInTurnWhenLoadIsEqual() {
 		Set<String> used = new HashSet<>();
 		for (int i = 0; i < 3; i++) {
-			String id = chosen(plain()).id();
+			String id = chosen(withoutPrompt()).id();
 			this.table.sent(start(id), 0);
 			this.table.ended(start(id), false, 0);
 			used.add(id);
@@ -265,10 +266,10 @@
 	// -- servers that leave or fail
 
 	@Test
-	void shouldSendNothingToServerThatLeaves() {
+	void shouldNotChooseServerWhenItIsLeaving() {
 		this.table.registered(server("s1", true), 0);
 		this.table.registered(server("s2", true), 0);
-		assertThat(chosen(plain()).id()).isEqualTo("s3");
+		assertThat(chosen(withoutPrompt()).id()).isEqualTo("s3");
 	}
 
 	// The store is unavailable for some seconds and the registrations of live servers
@@ -276,7 +277,7 @@
 	// immediately, no server is left for calls.
 	@ParameterizedTest
 	@CsvSource({ "0, 1600", "500, 1600", "1000, 1200", "2200, 0", "9000, 0" })
-	void shouldKeepLapsedServerUntilItsTimeIsOver(long sinceReturnMillis, long keptMillis) {
+	void shouldRetainLapsedServerWhenRegistryRecoveredRecently(long sinceReturnMillis, long keptMillis) {
 		long now = TimeUnit.MILLISECONDS.toNanos(sinceReturnMillis);
 		long dropped = now + TimeUnit.MILLISECONDS.toNanos(keptMillis);
 		this.table.lapsed("s1", now, OptionalLong.of(0));
@@ -285,13 +286,13 @@
 	}
 
 	@Test
-	void shouldDropServerAtOnceWhenRegistryWasNeverAway() {
+	void shouldRemoveServerImmediatelyWhenRegistryWasNeverUnavailable() {
 		this.table.lapsed("s1", 1_000, OptionalLong.empty());
 		assertThat(this.table.expire(1_000)).hasSize(1);
 	}
 
 	@Test
-	void shouldKeepLapsedServerThatRegistersAgain() {
+	void shouldRetainLapsedServerWhenItRegistersAgain() {
 		this.table.lapsed("s1", 0, OptionalLong.of(0));
 		assertThat(this.table.registered(server("s1", false), 500)).isTrue();
 		assertThat(this.table.expire(9 * SECOND)).isEmpty();
@@ -300,16 +301,16 @@
 	// The registration of a crashed server lapses only after some seconds; until then
 	// consecutive calls are sent to it and fail.
 	@Test
-	void shouldAvoidServerThatFailsInARowAndTryItAgainLater() {
-		String failing = chosen(plain()).id();
+	void shouldAvoidServerForSomeTimeWhenCallsFailConsecutively() {
+		String failing = chosen(withoutPrompt()).id();
 		for (int i = 0; i < 2; i++) {
 			this.table.sent(start(failing), 0);
 			this.table.ended(start(failing), true, 0);
 		}
-		assertThat(chosen(plain()).id()).isNotEqualTo(failing);
+		assertThat(chosen(withoutPrompt()).id()).isNotEqualTo(failing);
 		Set<String> later = new HashSet<>();
 		for (int i = 0; i < 3; i++) {
-			Choice.Chosen chosen = (Choice.Chosen) this.dispatcher.choose(plain(), Set.of(),
+			Choice.Chosen chosen = (Choice.Chosen) this.dispatcher.choose(withoutPrompt(), Set.of(),
 					TimeUnit.SECONDS.toNanos(9));
 			this.table.sent(start(chosen.server().id()), 0);
 			later.add(chosen.server().id());
@@ -323,7 +324,7 @@
 			this.table.ended(start(id), true, 0);
 			this.table.ended(start(id), true, 0);
 		}
-		assertThat(this.dispatcher.choose(plain(), Set.of(), 0)).isInstanceOf(Choice.Chosen.class);
+		assertThat(this.dispatcher.choose(withoutPrompt(), Set.of(), 0)).isInstanceOf(Choice.Chosen.class);
 	}
 
 	// -- servers that restart
@@ -332,16 +333,16 @@
 	// The calls of its previous run were still counted: it got no new calls, and each
 	// caller was rejected although the server was idle.
 	@Test
-	void shouldTakeServerThatStartsAgainAsEmpty() {
+	void shouldResetLoadWhenServerRestarts() {
 		for (String id : List.of("s1", "s2", "s3")) {
 			for (int i = 0; i < 4; i++) {
 				this.table.sent(start(id), 9_000);
 			}
 			this.table.othersAt("gateway-2", Map.of(start(id), new BackendUse(4, 9_000)));
 		}
-		assertThat(this.table.registered(started("s2", 77, false), 0)).isTrue();
+		assertThat(this.table.registered(serverStartedAt("s2", 77, false), 0)).isTrue();
 		this.table.othersAt("gateway-2", Map.of(start("s2"), new BackendUse(4, 9_000)));
-		Choice.Chosen chosen = (Choice.Chosen) this.dispatcher.choose(plain(), Set.of(), 0);
+		Choice.Chosen chosen = (Choice.Chosen) this.dispatcher.choose(withoutPrompt(), Set.of(), 0);
 		assertThat(chosen.server().startedMillis()).isEqualTo(77);
 		assertThat(chosen.load()).isZero();
 	}
@@ -349,16 +350,16 @@
 	// Calls of the previous run end after the new run has registered. If counted for the
 	// new run, they hide calls that it really executes and count as its failures.
 	@Test
-	void shouldKeepEndsOfEarlierStartFromTheNewOne() {
+	void shouldIgnoreCallEndsOfPreviousRunWhenServerRestarts() {
 		this.table.sent(start("s1"), 500);
-		this.table.registered(started("s1", 77, false), 0);
+		this.table.registered(serverStartedAt("s1", 77, false), 0);
 		this.table.sent(new Start("s1", 77), 800);
 		this.table.ended(start("s1"), true, 0);
 		this.table.read(start("s1"), 500);
 		this.table.ended(start("s1"), true, 0);
 		this.table.abandoned(start("s1"));
 		assertThat(this.table.ownUse()).containsEntry(new Start("s1", 77), new BackendUse(1, 800));
-		Choice.Chosen chosen = (Choice.Chosen) this.dispatcher.choose(plain(), Set.of("s2", "s3"), 0);
+		Choice.Chosen chosen = (Choice.Chosen) this.dispatcher.choose(withoutPrompt(), Set.of("s2", "s3"), 0);
 		assertThat(chosen.candidates()).isOne();
 	}
 
@@ -367,14 +368,14 @@
 	// Another writer corrupts the registration of a valid server. The server gets no
 	// calls until it has written its registration again, and its load is retained.
 	@Test
-	void shouldSendNothingToServerWhoseRegistrationCannotBeRead() {
+	void shouldNotChooseServerWhenRegistrationIsInvalid() {
 		this.table.sent(start("s1"), 700);
 		this.table.unreadable("s1");
 		this.table.unreadable("never-seen");
-		assertThat(this.dispatcher.choose(plain(), Set.of("s2", "s3"), 0)).isInstanceOf(Choice.NoServer.class);
+		assertThat(this.dispatcher.choose(withoutPrompt(), Set.of("s2", "s3"), 0)).isInstanceOf(Choice.NoServer.class);
 		assertThat(this.table.registered(server("s1", false), 0)).isTrue();
 		assertThat(this.table.ownUse()).containsEntry(start("s1"), new BackendUse(1, 700));
-		assertThat(this.dispatcher.choose(plain(), Set.of("s2", "s3"), 0)).isInstanceOf(Choice.Chosen.class);
+		assertThat(this.dispatcher.choose(withoutPrompt(), Set.of("s2", "s3"), 0)).isInstanceOf(Choice.Chosen.class);
 	}
 
 	private BackendServer chosen(Wish wish) {
@@ -385,27 +386,28 @@
 		return (Choice.Chosen) this.dispatcher.choose(wish, Set.of(), 0);
 	}
 
-	private static SharedParts shared(String part) {
+	private static SharedParts prefix(String part) {
 		return SharedParts.of(List.of(part), List.of(4_000));
 	}
 
-	private static Wish wish(SharedParts shared, int ownTokens) {
-		return new Wish("llm", shared, Optional.of(new EngineSpec(4, MEMORY, 160_000, 370_000)), ownTokens, 10_000, 0);
+	private static Wish requirements(SharedParts shared, int ownTokens) {
+		return new Wish("llm", shared, Optional.of(new EngineSpec(4, CACHE_TOKENS, 160_000, 370_000)), ownTokens,
+				10_000, 0);
 	}
 
-	private static Wish prompt(String part, int ownTokens) {
-		return wish(shared(part), ownTokens);
+	private static Wish promptRequirements(String part, int ownTokens) {
+		return requirements(prefix(part), ownTokens);
 	}
 
-	private static Wish plain() {
+	private static Wish withoutPrompt() {
 		return new Wish("llm", SharedParts.none(), Optional.empty(), 0, 500, 0);
 	}
 
 	private static BackendServer server(String id, boolean leaving) {
-		return started(id, 0, leaving);
+		return serverStartedAt(id, 0, leaving);
 	}
 
-	private static BackendServer started(String id, long startedMillis, boolean leaving) {
+	private static BackendServer serverStartedAt(String id, long startedMillis, boolean leaving) {
 		return new BackendServer(id, startedMillis, "llm", "v1", "127.0.0.1:1", "a", 4, leaving, false, 0);
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/FirstTokenModelTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/FirstTokenModelTests.java
@@ -22,7 +22,7 @@
 	// were idle.
 	@ParameterizedTest
 	@CsvSource({ "12, 66, 0.3, 0.28", "15, 20, 0.1, 0.5", "40, 180, 1.0, 0.05" })
-	void shouldLearnEnginesThatNobodyDescribed(double first, double tokensPerMilli, double perCall, double perPair) {
+	void shouldFitModelWhenEngineIsUnknown(double first, double tokensPerMilli, double perCall, double perPair) {
 		Random random = new Random(7);
 		for (int i = 0; i < 800; i++) {
 			Work work = work(random);
@@ -40,7 +40,7 @@
 	}
 
 	@Test
-	void shouldExpectCautiouslyBeforeItKnows() {
+	void shouldExpectConservativelyWhenNothingIsMeasured() {
 		assertThat(this.model.expectedMillis(Work.of(0, 5_000, 5_000, 0))).isBetween(100.0, 200.0);
 		assertThat(this.model.learned()).isEmpty();
 	}
@@ -48,8 +48,8 @@
 	// One call is answered after a long process pause of its server. It must not make
 	// every server of the service appear slow.
 	@Test
-	void shouldBoundWhatOneOddCallCounts() {
-		teach(200, new Random(3), 66);
+	void shouldLimitInfluenceWhenCallIsOutlier() {
+		updateModel(200, new Random(3), 66);
 		Work usual = Work.of(0, 4_000, 8_000, 4);
 		double before = this.model.expectedMillis(usual);
 		this.model.learn(usual, 60_000);
@@ -61,7 +61,7 @@
 	// coefficient alone varies between half and twice the required one.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8, 9, 10 })
-	void shouldKnowSpeedFromFewCallsOfCalmSeconds(long seed) {
+	void shouldEstimatePrefillRateWhenLoadIsLow(long seed) {
 		Random random = new Random(seed);
 		for (int i = 0; i < 60; i++) {
 			int prompt = 1_500 + random.nextInt(9_000);
@@ -72,18 +72,18 @@
 	}
 
 	@Test
-	void shouldFollowEnginesThatChange() {
+	void shouldAdaptWhenPrefillRateChanges() {
 		Random random = new Random(5);
-		teach(2_000, random, 66);
-		teach(2_000, random, 33);
+		updateModel(2_000, random, 66);
+		updateModel(2_000, random, 33);
 		assertThat(this.model.tokensPerMilli()).isCloseTo(32, within(5.0));
 	}
 
 	// A restarted process receives the coefficients that the other processes have
 	// fitted.
 	@Test
-	void shouldBeginWithWhatAnotherProcessLearned() {
-		teach(200, new Random(1), 20);
+	void shouldUseCoefficientsOfAnotherProcessWhenNothingIsMeasured() {
+		updateModel(200, new Random(1), 20);
 		FirstTokenModel fresh = new FirstTokenModel();
 		fresh.adopt(this.model.learned());
 		assertThat(fresh.tokensPerMilli()).isCloseTo(20, within(5.0));
@@ -91,14 +91,14 @@
 
 	@ParameterizedTest
 	@ValueSource(doubles = { 0, -1, Double.NaN, Double.POSITIVE_INFINITY, 1e9 })
-	void shouldNotTakeRatesThatMakeNoSense(double rate) {
+	void shouldIgnoreCoefficientsWhenInvalid(double rate) {
 		double before = this.model.tokensPerMilli();
 		this.model.adopt(List.of(12.0, rate, 0.3, 0.28));
 		this.model.adopt(List.of(12.0));
 		assertThat(this.model.tokensPerMilli()).isEqualTo(before);
 	}
 
-	private void teach(int calls, Random random, double tokensPerMilli) {
+	private void updateModel(int calls, Random random, double tokensPerMilli) {
 		for (int i = 0; i < calls; i++) {
 			Work work = work(random);
 			this.model.learn(work, millis(work, 12, tokensPerMilli, 0.3, 0.28));
@@ -113,7 +113,7 @@
 	}
 
 	private static double millis(Work work, double first, double tokensPerMilli, double perCall, double perPair) {
-		return first + work.tokens() / tokensPerMilli + perCall * work.calls() + perPair * work.pairs();
+		return first + work.tokens() / tokensPerMilli + perCall * work.calls() + perPair * work.tokenPairs();
 	}
 
 	private static double noise(Random random) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/RetryAllowanceTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/RetryAllowanceTests.java
@@ -19,7 +19,7 @@
 	// servers that recover immediately get twice the load.
 	@ParameterizedTest
 	@CsvSource({ "0, 2", "10, 4", "100, 22" })
-	void shouldAllowShareOfCallsAndFixedPart(int calls, int retries) {
+	void shouldAllowRatioOfCallsAndFixedShareWhenServersFail(int calls, int retries) {
 		RetryAllowance allowance = new RetryAllowance(0.2, 32, 10_000, STARTED);
 		for (int i = 0; i < calls; i++) {
 			allowance.first("booking", i);
@@ -32,7 +32,7 @@
 	}
 
 	@Test
-	void shouldForgetWhatLeftTheWindow() {
+	void shouldAllowRetryWhenPreviousOneHasLeftWindow() {
 		RetryAllowance allowance = new RetryAllowance(0, 16, 10_000, STARTED);
 		assertThat(allowance.take("booking", 0)).isTrue();
 		assertThat(allowance.take("booking", 9 * SECOND)).isFalse();
@@ -45,7 +45,7 @@
 	// servers.
 	@ParameterizedTest
 	@CsvSource({ "1", "9", "30", "87", "380" })
-	void shouldStayWithinFixedAllowanceHoweverManyProcesses(int processes) {
+	void shouldStayWithinFixedAllowanceWhenManyProcessesRetry(int processes) {
 		int repeated = 0;
 		for (int i = 0; i < processes; i++) {
 			RetryAllowance allowance = new RetryAllowance(0, 214, 10_000, STARTED);
@@ -58,7 +58,7 @@
 	}
 
 	@Test
-	void shouldCountEachServiceByItself() {
+	void shouldCountRetriesByService() {
 		RetryAllowance allowance = new RetryAllowance(0, 16, 10_000, STARTED);
 		assertThat(allowance.take("booking", 0)).isTrue();
 		assertThat(allowance.take("llm", 0)).isTrue();
@@ -67,7 +67,7 @@
 	// All processes are killed repeatedly while servers fail. Each run used its fixed
 	// share again, and together they made more retries than a window allows.
 	@Test
-	void shouldStayWithinWindowOverRestarts() {
+	void shouldStayWithinLimitWhenProcessRestartsRepeatedly() {
 		int repeated = 0;
 		for (int life = 0; life < 5; life++) {
 			long start = 2 * life * SECOND;
@@ -83,7 +83,7 @@
 	}
 
 	@Test
-	void shouldAllowFixedPartOnceAWindowHasPassedSinceTheStart() {
+	void shouldAllowFixedShareWhenWindowHasPassedSinceStart() {
 		RetryAllowance allowance = new RetryAllowance(0, 16, 10_000, 0);
 		assertThat(allowance.take("booking", 9 * SECOND)).isFalse();
 		assertThat(allowance.take("booking", 10 * SECOND)).isTrue();
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/HeardUsageTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/HeardUsageTests.java
@@ -9,45 +9,45 @@
 
 class HeardUsageTests {
 
-	private final HeardUsage heard = new HeardUsage();
+	private final HeardUsage usage = new HeardUsage();
 
 	// The usage report of a window lacked the calls of a process that was killed within
 	// it: the process wrote no row, and no other process had its counts.
 	@Test
-	void shouldCountProcessThatWasKilledBeforeItWroteItsRow() {
-		this.heard.underWay(7, "g1/a", Map.of("sfax", 3L));
-		this.heard.underWay(7, "g1/a", Map.of("sfax", 5L, "tunis", 1L));
-		assertThat(this.heard.missing(7, List.of("g2/b/1"))).containsOnly(Map.entry("sfax", 5L),
+	void shouldCountReportedCallsWhenProcessWroteNoRow() {
+		this.usage.underWay(7, "g1/a", Map.of("sfax", 3L));
+		this.usage.underWay(7, "g1/a", Map.of("sfax", 5L, "tunis", 1L));
+		assertThat(this.usage.missing(7, List.of("g2/b/1"))).containsOnly(Map.entry("sfax", 5L),
 				Map.entry("tunis", 1L));
 	}
 
 	@Test
-	void shouldNotCountTwiceWhatIsInTheStore() {
-		this.heard.underWay(7, "g1/a", Map.of("sfax", 3L));
-		this.heard.unwritten(7, "g1/a/1", Map.of("sfax", 4L));
-		assertThat(this.heard.missing(7, List.of("g1/a/1"))).isEmpty();
+	void shouldNotCountTwiceWhenRowIsInStore() {
+		this.usage.underWay(7, "g1/a", Map.of("sfax", 3L));
+		this.usage.unwritten(7, "g1/a/1", Map.of("sfax", 4L));
+		assertThat(this.usage.missing(7, List.of("g1/a/1"))).isEmpty();
 	}
 
 	// The store rejects the writes of a process for longer than a report may be delayed.
 	@Test
-	void shouldCountRowThatWasHandedOverInPlaceOfWhatWasToldBefore() {
-		this.heard.underWay(7, "g1/a", Map.of("sfax", 3L));
-		this.heard.unwritten(7, "g1/a/1", Map.of("sfax", 4L));
-		assertThat(this.heard.missing(7, List.of())).containsExactly(Map.entry("sfax", 4L));
+	void shouldCountUnwrittenRowOnlyWhenEarlierCountsWereReported() {
+		this.usage.underWay(7, "g1/a", Map.of("sfax", 3L));
+		this.usage.unwritten(7, "g1/a/1", Map.of("sfax", 4L));
+		assertThat(this.usage.missing(7, List.of())).containsExactly(Map.entry("sfax", 4L));
 	}
 
 	@Test
-	void shouldTellStartsOfOneProcessApart() {
-		this.heard.underWay(7, "g1/a", Map.of("sfax", 3L));
-		this.heard.underWay(7, "g1/b", Map.of("sfax", 2L));
-		assertThat(this.heard.missing(7, List.of("g1/b/1"))).containsExactly(Map.entry("sfax", 3L));
+	void shouldCountEachRunWhenProcessRestarts() {
+		this.usage.underWay(7, "g1/a", Map.of("sfax", 3L));
+		this.usage.underWay(7, "g1/b", Map.of("sfax", 2L));
+		assertThat(this.usage.missing(7, List.of("g1/b/1"))).containsExactly(Map.entry("sfax", 3L));
 	}
 
 	@Test
-	void shouldForgetOldWindows() {
-		this.heard.underWay(7, "g1/a", Map.of("sfax", 3L));
-		this.heard.forgetBefore(8);
-		assertThat(this.heard.missing(7, List.of())).isEmpty();
+	void shouldReturnNothingWhenWindowWasRemoved() {
+		this.usage.underWay(7, "g1/a", Map.of("sfax", 3L));
+		this.usage.forgetBefore(8);
+		assertThat(this.usage.missing(7, List.of())).isEmpty();
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ReclaimWaveTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ReclaimWaveTests.java
@@ -36,7 +36,7 @@
 	private static final List<String> ZONES = List.of("a", "b", "c");
 
 	/** The prefill rate of an engine as measured from calls, in tokens per second. */
-	private static final double SPEED = 56_000;
+	private static final double PREFILL_RATE = 56_000;
 
 	private static final ServiceSpec LLM = new ServiceSpec("llm", 100, Optional.of(new EngineSpec(64, 500_000, 0, 0)),
 			Optional.of(new ScalingSpec(1, 12, 4_000, 0.2, Map.of("a", 0.8, "b", 1.0, "c", 1.2))));
@@ -49,9 +49,9 @@
 
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16 })
-	void shouldFallBackInWaveAndReturnBehindIt(long seed) {
+	void shouldFallBackToOnDemandServersAndReturnWhenZonesAreReclaimed(long seed) {
 		SplittableRandom random = new SplittableRandom(seed);
-		Demand demand = new Demand(150_000 + random.nextInt(250_000), SPEED, 0, 3);
+		Demand demand = new Demand(150_000 + random.nextInt(250_000), PREFILL_RATE, 0, 3);
 		int wave = 600;
 		int dryUntil = wave + 120 + random.nextInt(40);
 		Map<String, Integer> noticed = new HashMap<>();
@@ -61,23 +61,23 @@
 			gap += random.nextInt(60);
 		}
 		for (int tenth = 0; tenth < 1_200; tenth++) {
-			this.cloud.dry = tenth >= wave && tenth < dryUntil;
+			this.cloud.reclaimableUnavailable = tenth >= wave && tenth < dryUntil;
 			for (String zone : ZONES) {
 				if (noticed.get(zone) == tenth) {
 					this.cloud.reclaim(zone);
 				}
 			}
-			this.cloud.boot(tenth);
+			this.cloud.completeBoots(tenth);
 			Plan wanted = this.plan.plan(LLM, ZONES, demand, tenth * TENTH);
-			order(wanted, tenth);
-			int least = (int) Math.ceil(wanted.need() * 0.7);
+			placeOrders(wanted, tenth);
+			int least = (int) Math.ceil(wanted.requiredServers() * 0.7);
 			if (tenth >= 550 && tenth < wave) {
-				assertThat(this.cloud.all()).as("servers before the reclaim").isGreaterThanOrEqualTo(least);
+				assertThat(this.cloud.totalRunning()).as("servers before the reclaim").isGreaterThanOrEqualTo(least);
 			}
 			// After the first refusal the missing servers are ordered without counting
 			// on the next zone.
 			if (tenth > wave + 5) {
-				assertThat(this.cloud.all() + this.cloud.booting()).as("servers in tenth %s", tenth)
+				assertThat(this.cloud.totalRunning() + this.cloud.bootingByPool()).as("servers in tenth %s", tenth)
 					.isGreaterThanOrEqualTo(least);
 			}
 			assertThat(this.cloud.ordersOfSecond).as("orders in tenth %s", tenth).isLessThanOrEqualTo(12);
@@ -89,7 +89,7 @@
 		assertThat(this.cloud.present()).as("servers after the reclaim").isEqualTo(new TreeMap<>(wanted.zones()));
 	}
 
-	private void order(Plan wanted, int tenth) {
+	private void placeOrders(Plan wanted, int tenth) {
 		for (Size size : this.orders.next(LLM, wanted, this.cloud.present(), tenth * TENTH)) {
 			if (this.cloud.order(size, tenth)) {
 				this.orders.taken(size);
@@ -115,19 +115,19 @@
 	 */
 	private static final class Cloud {
 
-		private final Map<Size.Sort, Integer> running = new HashMap<>();
+		private final Map<Size.Pool, Integer> running = new HashMap<>();
 
-		private final Map<Size.Sort, List<Integer>> booting = new HashMap<>();
+		private final Map<Size.Pool, List<Integer>> bootingByPool = new HashMap<>();
 
-		private boolean dry;
+		private boolean reclaimableUnavailable;
 
 		private int ordersOfSecond;
 
 		private boolean order(Size size, int tenth) {
 			this.ordersOfSecond++;
-			int runs = this.running.getOrDefault(size.sort(), 0);
-			List<Integer> boots = this.booting.computeIfAbsent(size.sort(), (_) -> new ArrayList<>());
-			if (size.reclaimable() && this.dry && size.servers() > runs + boots.size()) {
+			int runs = this.running.getOrDefault(size.pool(), 0);
+			List<Integer> boots = this.bootingByPool.computeIfAbsent(size.pool(), (_) -> new ArrayList<>());
+			if (size.reclaimable() && this.reclaimableUnavailable && size.servers() > runs + boots.size()) {
 				return false;
 			}
 			while (runs + boots.size() > size.servers() && !boots.isEmpty()) {
@@ -136,12 +136,12 @@
 			while (runs + boots.size() < size.servers()) {
 				boots.add(tenth + BOOT_TENTHS);
 			}
-			this.running.put(size.sort(), Math.min(runs, size.servers()));
+			this.running.put(size.pool(), Math.min(runs, size.servers()));
 			return true;
 		}
 
-		private void boot(int tenth) {
-			this.booting.forEach((sort, ready) -> {
+		private void completeBoots(int tenth) {
+			this.bootingByPool.forEach((sort, ready) -> {
 				int before = ready.size();
 				ready.removeIf((at) -> at <= tenth);
 				this.running.merge(sort, before - ready.size(), Integer::sum);
@@ -149,26 +149,26 @@
 		}
 
 		private void reclaim(String zone) {
-			Size.Sort sort = new Size.Sort("llm", zone, true);
+			Size.Pool sort = new Size.Pool("llm", zone, true);
 			this.running.put(sort, 0);
-			this.booting.remove(sort);
+			this.bootingByPool.remove(sort);
 		}
 
 		private Map<String, ZoneSize> present() {
 			Map<String, ZoneSize> present = new TreeMap<>();
 			for (String zone : ZONES) {
-				present.put(zone, new ZoneSize(this.running.getOrDefault(new Size.Sort("llm", zone, false), 0),
-						this.running.getOrDefault(new Size.Sort("llm", zone, true), 0)));
+				present.put(zone, new ZoneSize(this.running.getOrDefault(new Size.Pool("llm", zone, false), 0),
+						this.running.getOrDefault(new Size.Pool("llm", zone, true), 0)));
 			}
 			return present;
 		}
 
-		private int all() {
+		private int totalRunning() {
 			return this.running.values().stream().mapToInt(Integer::intValue).sum();
 		}
 
-		private int booting() {
-			return this.booting.values().stream().mapToInt(List::size).sum();
+		private int bootingByPool() {
+			return this.bootingByPool.values().stream().mapToInt(List::size).sum();
 		}
 
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizeOrdersTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizeOrdersTests.java
@@ -43,7 +43,7 @@
 	private final SizeOrders orders = new SizeOrders();
 
 	@Test
-	void shouldOrderNothingWhenPlanIsThere() {
+	void shouldOrderNothingWhenPlannedServersArePresent() {
 		assertThat(next(COMPLETE, 0)).isEmpty();
 	}
 
@@ -51,7 +51,7 @@
 	// If the order still counts as pending, it is repeated only after the boot time, and
 	// calls queue up and are rejected for as long as the zone is missing.
 	@Test
-	void shouldOrderAnewAtOnceWhenServersThatWereThereAreReclaimed() {
+	void shouldReorderImmediatelyWhenPresentServersAreReclaimed() {
 		next(WITHOUT_B, 0);
 		next(COMPLETE, SECOND);
 		assertThat(next(WITHOUT_B, 2 * SECOND)).containsExactly(RECLAIMABLE_IN_B);
@@ -59,7 +59,7 @@
 
 	// The same fault while the zone is growing: not all ordered servers are present yet.
 	@Test
-	void shouldOrderAnewAtOnceWhenSomeOfServersUnderWayAreReclaimed() {
+	void shouldReorderImmediatelyWhenOrderIsPartlyCompleteAndServersAreReclaimed() {
 		next(WITHOUT_B, 0);
 		next(Map.of("a", new ZoneSize(1, 2), "b", new ZoneSize(0, 1)), SECOND);
 		assertThat(next(WITHOUT_B, 2 * SECOND)).containsExactly(RECLAIMABLE_IN_B);
@@ -68,7 +68,7 @@
 	// Zones are reclaimed one after the other. Fallback servers booting in one zone were
 	// cancelled and ordered in the next zone as soon as that was refused too.
 	@Test
-	void shouldLeaveFallbackServersWhereTheyBoot() {
+	void shouldKeepBootingFallbackServersWhenAnotherZoneIsRefused() {
 		next(WITHOUT_B, 0);
 		this.orders.failed(RECLAIMABLE_IN_B, true, 0);
 		assertThat(next(WITHOUT_B, SECOND / 10)).containsExactly(FALLBACK);
@@ -79,7 +79,7 @@
 	}
 
 	@Test
-	void shouldNotRepeatOrderThatIsUnderWay() {
+	void shouldNotRepeatOrderWhenItIsPending() {
 		next(WITHOUT_B, 0);
 		assertThat(next(WITHOUT_B, 2 * SECOND)).isEmpty();
 		assertThat(next(WITHOUT_B, 9 * SECOND)).containsExactly(RECLAIMABLE_IN_B);
@@ -90,7 +90,7 @@
 	// rejected for as long as no reclaimable VM was available, although on-demand VMs
 	// were.
 	@Test
-	void shouldKeepFallbackServersWhileReclaimableOnesAreAskedForAgain() {
+	void shouldKeepFallbackServersWhenReclaimableOrderIsRepeated() {
 		next(WITHOUT_B, 0);
 		this.orders.failed(RECLAIMABLE_IN_B, true, 0);
 		assertThat(next(WITHOUT_B, SECOND / 10)).containsExactly(FALLBACK);
@@ -100,7 +100,7 @@
 	}
 
 	@Test
-	void shouldGiveFallbackServersBackOnceReclaimableOnesServe() {
+	void shouldReleaseFallbackServersWhenReclaimableServersArePresent() {
 		next(WITHOUT_B, 0);
 		this.orders.failed(RECLAIMABLE_IN_B, true, 0);
 		next(WITHOUT_B, SECOND);
@@ -114,7 +114,7 @@
 	// Reclaims go from zone to zone while no other VM is available. Fallback servers
 	// that are ordered upon the notice of the last zone boot while no server is left.
 	@Test
-	void shouldNotCountOnTheNextZoneOnceOneIsRefused() {
+	void shouldNotCountOnLargestZoneWhenOneIsRefused() {
 		Plan large = new Plan(4.2, 4.2, PLAN.zones());
 		this.orders.next(LLM, large, WITHOUT_B, 0);
 		this.orders.failed(RECLAIMABLE_IN_B, true, 0);
@@ -127,7 +127,7 @@
 	// Two zones are reclaimed at the same time: fallback servers for the whole shortage
 	// were ordered in each zone, twice as many at the on-demand price as required.
 	@Test
-	void shouldShareFallbackServersAmongZones() {
+	void shouldDistributeFallbackServersWhenTwoZonesAreReclaimed() {
 		Map<String, ZoneSize> left = Map.of("a", new ZoneSize(1, 0), "b", ZoneSize.NONE);
 		next(left, 0);
 		this.orders.failed(RECLAIMABLE_IN_A, true, 0);
@@ -140,7 +140,7 @@
 	// A zone is reclaimed while the plan moves from reclaimable to on-demand servers: a
 	// live server in another zone was released without a replacement.
 	@Test
-	void shouldGiveNoServerBackWhileAnotherIsMissing() {
+	void shouldReleaseNoServerWhenAnotherIsMissing() {
 		Plan smaller = new Plan(2.8, 2.8, new TreeMap<>(Map.of("a", new ZoneSize(1, 1), "b", new ZoneSize(1, 1))));
 		assertThat(this.orders.next(LLM, smaller, WITHOUT_B, 0)).noneMatch((size) -> size.zone().equals("a"));
 		assertThat(this.orders.next(LLM, smaller, COMPLETE, 9 * SECOND)).contains(new Size("llm", "a", 1, true),
@@ -150,7 +150,7 @@
 	// A traffic peak is over: fallback servers for it would cost five times as much as
 	// reclaimable ones and stay idle.
 	@Test
-	void shouldFallBackForNeedOfLateOnly() {
+	void shouldOrderNoFallbackServersWhenPeakIsOver() {
 		Plan behindPeak = new Plan(11, 1.4, PLAN.zones());
 		this.orders.next(LLM, behindPeak, WITHOUT_B, 0);
 		this.orders.failed(RECLAIMABLE_IN_B, true, 0);
@@ -158,7 +158,7 @@
 	}
 
 	@Test
-	void shouldPauseBehindOrderThatFailed() {
+	void shouldDelayRetryWhenOrderFailed() {
 		next(WITHOUT_B, 0);
 		this.orders.failed(RECLAIMABLE_IN_B, false, 0);
 		assertThat(next(WITHOUT_B, SECOND / 2)).isEmpty();
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizePlanTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizePlanTests.java
@@ -27,12 +27,12 @@
 	private static final List<String> ZONES = List.of("a", "b", "c");
 
 	/** The prefill rate of an engine as measured from calls, in tokens per second. */
-	private static final double SPEED = 56_000;
+	private static final double PREFILL_RATE = 56_000;
 
 	private static final ServiceSpec LLM = service(0.2);
 
 	/** Spare reclaimable servers in three zones cost more than one on-demand server. */
-	private static final ServiceSpec DEAR_SPARES = service(0.4);
+	private static final ServiceSpec EXPENSIVE_SPARES = service(0.4);
 
 	private final SizePlan plan = new SizePlan();
 
@@ -40,8 +40,8 @@
 	// terminated within seconds, and no order is carried out meanwhile. Only on-demand
 	// servers remain.
 	@Test
-	void shouldKeepLastingServersForLargeNeed() {
-		Plan sizes = this.plan.plan(DEAR_SPARES, ZONES, new Demand(320_000, SPEED, 0, 9), 0);
+	void shouldPlanOnDemandServersWhenSparesAreExpensive() {
+		Plan sizes = this.plan.plan(EXPENSIVE_SPARES, ZONES, new Demand(320_000, PREFILL_RATE, 0, 9), 0);
 		assertThat(sizes.zones().values().stream().mapToInt(ZoneSize::lasting).sum()).isEqualTo(5);
 		assertThat(sizes.zones().get("a").lasting()).isGreaterThanOrEqualTo(sizes.zones().get("c").lasting());
 	}
@@ -52,36 +52,36 @@
 	// the three zones costs less.
 	@ParameterizedTest
 	@ValueSource(doubles = { 120_000, 200_000, 320_000, 440_000 })
-	void shouldCarryPartOfNeedInAnySingleZoneWhenSparesAreCheap(double tokens) {
-		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(tokens, SPEED, 0, 9), 0);
+	void shouldProvideFractionInAnySingleZoneWhenSparesAreCheap(double tokens) {
+		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(tokens, PREFILL_RATE, 0, 9), 0);
 		int lasting = sizes.zones().values().stream().mapToInt(ZoneSize::lasting).sum();
 		assertThat(lasting).isEqualTo(1);
 		sizes.zones()
 			.values()
 			.forEach((zone) -> assertThat(lasting + zone.reclaimable())
-				.isGreaterThanOrEqualTo(Math.min(6, (int) Math.ceil(sizes.need() * 0.6))));
+				.isGreaterThanOrEqualTo(Math.min(6, (int) Math.ceil(sizes.requiredServers() * 0.6))));
 	}
 
 	// A traffic peak of seven seconds is over when a reclaim begins. When its capacity
 	// was replaced one by one with on-demand VMs, they ran idle for half a minute.
 	@Test
-	void shouldForgetPeakSoonForWhatIsDear() {
-		this.plan.plan(LLM, ZONES, new Demand(430_000, SPEED, 0, 0), 100 * SECOND);
-		Plan behind = this.plan.plan(LLM, ZONES, new Demand(120_000, SPEED, 0, 0), 107 * SECOND);
-		assertThat(behind.needOfLate()).isLessThan(0.3 * behind.need());
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(120_000, SPEED, 0, 0), 108 * SECOND).needOfLate())
-			.isEqualTo(behind.needOfLate());
+	void shouldForgetRecentPeakWhenPeakIsOver() {
+		this.plan.plan(LLM, ZONES, new Demand(430_000, PREFILL_RATE, 0, 0), 100 * SECOND);
+		Plan behind = this.plan.plan(LLM, ZONES, new Demand(120_000, PREFILL_RATE, 0, 0), 107 * SECOND);
+		assertThat(behind.recentRequiredServers()).isLessThan(0.3 * behind.requiredServers());
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(120_000, PREFILL_RATE, 0, 0), 108 * SECOND)
+			.recentRequiredServers()).isEqualTo(behind.recentRequiredServers());
 	}
 
 	@Test
-	void shouldKeepOneLastingServerHoweverSmallTheNeed() {
-		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 0), 0);
+	void shouldPlanOneOnDemandServerWhenThereIsNoLoad() {
+		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(0, PREFILL_RATE, 0, 0), 0);
 		assertThat(sizes.zones().values().stream().mapToInt(ZoneSize::lasting).sum()).isEqualTo(1);
 	}
 
 	@Test
-	void shouldCarryNeedWithoutOneZone() {
-		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(320_000, SPEED, 0, 9), 0);
+	void shouldProvideRequiredCapacityWhenOneZoneIsLost() {
+		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(320_000, PREFILL_RATE, 0, 9), 0);
 		for (String lost : ZONES) {
 			int left = sizes.zones()
 				.entrySet()
@@ -89,45 +89,56 @@
 				.filter((zone) -> !zone.getKey().equals(lost))
 				.mapToInt((zone) -> zone.getValue().lasting() + zone.getValue().reclaimable())
 				.sum();
-			assertThat(left + 2).as("without %s", lost).isGreaterThanOrEqualTo((int) Math.ceil(sizes.need()));
+			assertThat(left + 2).as("without %s", lost)
+				.isGreaterThanOrEqualTo((int) Math.ceil(sizes.requiredServers()));
 		}
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "0, 0, 0", "100000, 0, 3", "0, 100, 3", "10000000, 0, 3" })
-	void shouldStayWithinBounds(double tokens, int running, int present) {
-		this.plan.plan(LLM, ZONES, new Demand(tokens, SPEED, running, present), 0).zones().values().forEach((zone) -> {
-			assertThat(zone.lasting() + zone.reclaimable()).isBetween(1, 6);
-			assertThat(zone.lasting()).isNotNegative();
-		});
+	void shouldStayWithinBoundsWhenLoadVaries(double tokens, int running, int present) {
+		this.plan.plan(LLM, ZONES, new Demand(tokens, PREFILL_RATE, running, present), 0)
+			.zones()
+			.values()
+			.forEach((zone) -> {
+				assertThat(zone.lasting() + zone.reclaimable()).isBetween(1, 6);
+				assertThat(zone.lasting()).isNotNegative();
+			});
 	}
 
 	// Traffic oscillates with a period of some tens of seconds: servers released at the
 	// minimum are missing at the next peak, since replacements boot for four seconds and
 	// start with cold caches.
 	@Test
-	void shouldHoldPeakThroughTrough() {
-		double peak = this.plan.plan(LLM, ZONES, new Demand(300_000, SPEED, 0, 0), 100 * SECOND).need();
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(50_000, SPEED, 0, 0), 120 * SECOND).need()).isEqualTo(peak);
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(50_000, SPEED, 0, 0), 130 * SECOND).need()).isLessThan(peak);
+	void shouldRetainPeakWhenLoadDropsBriefly() {
+		double peak = this.plan.plan(LLM, ZONES, new Demand(300_000, PREFILL_RATE, 0, 0), 100 * SECOND)
+			.requiredServers();
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(50_000, PREFILL_RATE, 0, 0), 120 * SECOND).requiredServers())
+			.isEqualTo(peak);
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(50_000, PREFILL_RATE, 0, 0), 130 * SECOND).requiredServers())
+			.isLessThan(peak);
 	}
 
 	// The servers present at the start register one after the other. When the first plan
 	// took those registered so far for all, too few servers were left for the first
 	// seconds of traffic.
 	@Test
-	void shouldRaiseFirstNeedWhileServersRegister() {
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 4), 0).need()).isCloseTo(2.4, within(0.01));
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 10), SECOND).need()).isEqualTo(6);
+	void shouldRaiseInitialRequirementWhenServersRegister() {
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, PREFILL_RATE, 0, 4), 0).requiredServers()).isCloseTo(2.4,
+				within(0.01));
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, PREFILL_RATE, 0, 10), SECOND).requiredServers())
+			.isEqualTo(6);
 	}
 
 	// The processes start before the traffic: a plan based on no traffic releases all
 	// servers required in the first second of traffic.
 	@Test
-	void shouldTakeFirstSizeAsNeededUntilTrafficShows() {
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 10), 0).need()).isEqualTo(6);
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 9), 29 * SECOND).need()).isEqualTo(6);
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 9), 60 * SECOND).need()).isZero();
+	void shouldRequireInitialSizeWhenThereIsNoTrafficYet() {
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, PREFILL_RATE, 0, 10), 0).requiredServers()).isEqualTo(6);
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, PREFILL_RATE, 0, 9), 29 * SECOND).requiredServers())
+			.isEqualTo(6);
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, PREFILL_RATE, 0, 9), 60 * SECOND).requiredServers())
+			.isZero();
 	}
 
 	private static ServiceSpec service(double reclaimablePrice) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/UsageLedgerTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/UsageLedgerTests.java
@@ -25,14 +25,14 @@
 	// A call that began at the end of a window is counted a little later; if the window
 	// were closed too early, the report would lack the call.
 	@Test
-	void shouldKeepWindowOpenForNewsUnderWay() {
+	void shouldKeepWindowOpenWhenItEndedRecently() {
 		this.ledger.began("sfax", 14_999);
 		assertThat(this.ledger.close(15_199)).isEmpty();
 		assertThat(this.ledger.close(15_200)).hasSize(1);
 	}
 
 	@Test
-	void shouldTellCountsOfWindowUnderWay() {
+	void shouldReturnCountsOfCurrentWindowWhenItIsNotOver() {
 		this.ledger.began("sfax", 14_999);
 		this.ledger.began("sfax", 16_000);
 		assertThat(this.ledger.current(16_500)).isEqualTo(new Window(3, Map.of("sfax", 1L)));
@@ -40,7 +40,7 @@
 	}
 
 	@Test
-	void shouldHandOverUnfinishedWindowAtTheEnd() {
+	void shouldReturnUnfinishedWindowWhenAllAreClosed() {
 		this.ledger.began("sfax", 16_000);
 		assertThat(this.ledger.closeAll()).containsExactly(new Window(3, Map.of("sfax", 1L)));
 		assertThat(this.ledger.closeAll()).isEmpty();
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/routes/TrafficConfigurationTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/routes/TrafficConfigurationTests.java
@@ -26,7 +26,7 @@
 	@ParameterizedTest
 	@CsvSource({ "a.example, /visits/sheets/1, sheets", "a.example, /visits/1, visits", "a.example, /visits, all",
 			"a.example, /x, all", "b.example, /visits/1, other" })
-	void shouldChooseLongestPrefixOfHost(String host, String path, String name) {
+	void shouldChooseLongestPrefixWhenSeveralRoutesMatch(String host, String path, String name) {
 		assertThat(this.configuration.route(host, path).map(Route::name)).contains(name);
 	}
 
@@ -37,7 +37,7 @@
 	}
 
 	@Test
-	void shouldFindOrganisationByEachOfItsKeys() {
+	void shouldFindOrganisationWhenKeyIsOneOfItsKeys() {
 		assertThat(this.configuration.organisation("key-2")).contains(SFAX);
 		assertThat(this.configuration.organisation("key-3")).isEmpty();
 	}
@@ -45,7 +45,7 @@
 	// If an operator misspells a service, every call of the route would fail with an
 	// internal error; the previous configuration must stay in force instead.
 	@Test
-	void shouldRejectRouteToMissingService() {
+	void shouldRejectRouteWhenServiceIsNotDeclared() {
 		assertThatIllegalArgumentException()
 			.isThrownBy(() -> TrafficConfiguration.of(8, List.of(route("r", "a.example", "/")), List.of(), List.of(),
 					CallerLimits.INITIAL))
@@ -54,7 +54,7 @@
 
 	@ParameterizedTest
 	@CsvSource({ "0, a", "0.89, a", "0.9, b", "0.999, b" })
-	void shouldShareCallsByWeight(double draw, String service) {
+	void shouldSelectServiceByWeight(double draw, String service) {
 		Route route = new Route("r", "h", "/", CallKind.STREAMING, 1_000, 500, 0,
 				List.of(new Route.Target("a", 90), new Route.Target("b", 10)), 1, false, false);
 		assertThat(route.service(draw)).isEqualTo(service);
@@ -63,7 +63,7 @@
 	@ParameterizedTest
 	@CsvSource({ "IDEMPOTENT, false, true", "NON_IDEMPOTENT, false, false", "NON_IDEMPOTENT, true, false",
 			"STREAMING, false, false", "STREAMING, true, true" })
-	void shouldRepeatOnlyWhatMayRunTwice(CallKind kind, boolean resumable, boolean repeatable) {
+	void shouldBeRetryableWhenCallMayRunTwice(CallKind kind, boolean resumable, boolean repeatable) {
 		Route route = new Route("r", "h", "/", kind, 1_000, 500, 0, List.of(new Route.Target("a", 1)), 2, false,
 				resumable);
 		assertThat(route.repeatable()).isEqualTo(repeatable);
