--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartNews.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartNews.java
@@ -19,14 +19,14 @@
 	 * The maximum number of new segments in a report, which keeps a report well below the
 	 * maximum size of a datagram.
 	 */
-	private static final int MAX_SEGMENTS_PER_REPORT = 48;
+	private static final int MAX_NEW_SEGMENTS = 48;
 
 	private List<Entry> lastReported = List.of();
 
 	private List<Entry> pending = new ArrayList<>();
 
 	void add(Start server, Part segment) {
-		if (this.pending.size() < MAX_SEGMENTS_PER_REPORT) {
+		if (this.pending.size() < MAX_NEW_SEGMENTS) {
 			this.pending.add(new Entry(server, segment));
 		}
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizePlan.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizePlan.java
@@ -153,7 +153,7 @@
 	// order.
 	private double recentPeak(double requiredNow, long nowNanos) {
 		return this.peaks.stream()
-			.filter((requiredCapacity) -> nowNanos - requiredCapacity.atNanos() <= RECENT_PEAK_NANOS)
+			.filter((sample) -> nowNanos - sample.atNanos() <= RECENT_PEAK_NANOS)
 			.mapToDouble(CapacitySample::required)
 			.reduce(requiredNow, Math::max);
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/DispatcherTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/DispatcherTests.java
@@ -222,10 +222,10 @@
 	// stream was broken off although other servers were idle.
 	@ParameterizedTest
 	@CsvSource({ "true, 2000", "false, 0" })
-	void shouldNotRejectLateCallWhenItHasRun(boolean ran, long millisLeft) {
-		long left = Wish.millisLeft(600 - 2_600, 2_000, ran);
-		assertThat(left).isEqualTo(millisLeft);
-		Wish requirements = new Wish("llm", SharedParts.none(), Optional.empty(), 1_000, left, 0);
+	void shouldNotRejectLateCallWhenItHasRun(boolean ran, long expectedMillis) {
+		long remainingMillis = Wish.millisLeft(600 - 2_600, 2_000, ran);
+		assertThat(remainingMillis).isEqualTo(expectedMillis);
+		Wish requirements = new Wish("llm", SharedParts.none(), Optional.empty(), 1_000, remainingMillis, 0);
 		Choice choice = this.dispatcher.choose(requirements, Set.of("s1"), 0);
 		assertThat(choice instanceof Choice.Chosen).isEqualTo(ran);
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ReclaimWaveTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ReclaimWaveTests.java
@@ -78,7 +78,7 @@
 			// After the first refusal the missing servers are ordered without counting
 			// on the next zone.
 			if (tenth > reclaimStart + 5) {
-				assertThat(this.cloud.totalRunning() + this.cloud.bootingByPool()).as("servers in tenth %s", tenth)
+				assertThat(this.cloud.totalRunning() + this.cloud.totalBooting()).as("servers in tenth %s", tenth)
 					.isGreaterThanOrEqualTo(minServers);
 			}
 			assertThat(this.cloud.ordersOfSecond).as("orders in tenth %s", tenth).isLessThanOrEqualTo(12);
@@ -169,7 +169,7 @@
 			return this.running.values().stream().mapToInt(Integer::intValue).sum();
 		}
 
-		private int bootingByPool() {
+		private int totalBooting() {
 			return this.bootingByPool.values().stream().mapToInt(List::size).sum();
 		}
 
