--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/Dispatcher.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/Dispatcher.java
@@ -34,8 +34,8 @@
 
 	/**
 	 * The warm-up time after the first prompt, in which the local record of cached
-	 * segments is incomplete. Within it the process places calls with most of the
-	 * segments in use or receives reports about them.
+	 * segments is incomplete. By its end the process has dispatched calls with most of
+	 * the segments in use or received reports about them.
 	 */
 	private static final long WARM_UP_NANOS = TimeUnit.SECONDS.toNanos(10);
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/FirstTokenModel.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/FirstTokenModel.java
@@ -75,7 +75,8 @@
 		double expected = expectedMillis(work);
 		double bounded = Math.clamp(millis, expected / MAX_RATIO, expected * MAX_RATIO);
 		double[] features = work.features();
-		// Reduces the influence of long times from quadratic to linear.
+		// Weights a call by the inverse of the expected time, so that long times count
+		// linearly instead of quadratically.
 		double weight = 1 / Math.max(1, expected);
 		for (int i = 0; i < FEATURE_COUNT; i++) {
 			for (int j = 0; j < FEATURE_COUNT; j++) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartNews.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartNews.java
@@ -16,7 +16,7 @@
 final class PartNews {
 
 	/**
-	 * The maximum number of new segments in a report, which keeps a report well below the
+	 * The maximum number of new segments in a report, which keeps reports well below the
 	 * maximum size of a datagram.
 	 */
 	private static final int MAX_NEW_SEGMENTS = 48;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/HeardUsage.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/HeardUsage.java
@@ -30,7 +30,8 @@
 	/**
 	 * Records the counts so far of the current window of a process.
 	 * @param window the index of the window
-	 * @param process the run of a process that sent the counts
+	 * @param process the name of the process with the id of its run, as in the names of
+	 * its rows
 	 * @param counts the number of calls by organisation
 	 */
 	public void underWay(long window, String process, Map<String, Long> counts) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizePlan.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizePlan.java
@@ -51,8 +51,8 @@
 	private static final long PEAK_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(25);
 
 	/**
-	 * The age up to which peaks of the required capacity still count when an order is
-	 * carried out.
+	 * The age up to which a peak of the required capacity counts as recent: about the
+	 * time that it takes to carry out an order.
 	 */
 	private static final long RECENT_PEAK_NANOS = TimeUnit.SECONDS.toNanos(6);
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ReclaimWaveTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ReclaimWaveTests.java
@@ -111,8 +111,8 @@
 	}
 
 	/**
-	 * A cloud provider that boots the ordered servers, but has no reclaimable VMs
-	 * available while {@code dry} is set.
+	 * A cloud provider that boots the ordered servers, but has no reclaimable VMs while
+	 * {@code reclaimableUnavailable} is set.
 	 */
 	private static final class Cloud {
 
