--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizeOrders.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizeOrders.java
@@ -37,7 +37,7 @@
 	 * replaced by on-demand VMs. The required capacity includes headroom for peaks, and
 	 * an on-demand VM costs about five times as much as a reclaimable one: with the whole
 	 * required capacity, the servers of two days with reclaims cost 0.24 of the value of
-	 * those days; with this fraction 0.19, while the part of the calls served stayed the
+	 * those days; with this fraction 0.19, while the fraction of calls served stayed the
 	 * same (0.896 and 0.894).
 	 */
 	private static final double FALLBACK_FRACTION = 0.7;
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizePlanTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizePlanTests.java
@@ -54,11 +54,11 @@
 	@ValueSource(doubles = { 120_000, 200_000, 320_000, 440_000 })
 	void shouldProvideFractionInAnySingleZoneWhenSparesAreCheap(double tokens) {
 		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(tokens, PREFILL_RATE, 0, 9), 0);
-		int lasting = sizes.zones().values().stream().mapToInt(ZoneSize::lasting).sum();
-		assertThat(lasting).isEqualTo(1);
+		int onDemand = sizes.zones().values().stream().mapToInt(ZoneSize::lasting).sum();
+		assertThat(onDemand).isEqualTo(1);
 		sizes.zones()
 			.values()
-			.forEach((zone) -> assertThat(lasting + zone.reclaimable())
+			.forEach((zone) -> assertThat(onDemand + zone.reclaimable())
 				.isGreaterThanOrEqualTo(Math.min(6, (int) Math.ceil(sizes.requiredServers() * 0.6))));
 	}
 
