--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartCache.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartCache.java
@@ -7,57 +7,58 @@
 import org.rosemaryfront.dispatch.SharedParts.Part;
 
 /**
- * The shared parts that a server is taken to have in its cache, the ones used last.
+ * The most recently used prompt segments, which a server is assumed to have in its KV
+ * cache.
  */
 final class PartCache {
 
-	/** The part of an engine's memory that shared parts are taken to keep. */
-	private static final double SHARE = 0.5;
+	/** The fraction of an engine's KV cache that is assumed to hold shared segments. */
+	private static final double SHARED_FRACTION = 0.5;
 
-	/** Parts known at most, whatever an engine's memory holds. */
-	private static final int MOST_PARTS = 4_096;
+	/** The maximum number of segments, whatever the capacity of the engine. */
+	private static final int MAX_SEGMENTS = 4_096;
 
-	private final LinkedHashMap<Long, Integer> parts = new LinkedHashMap<>(16, 0.75f, true);
+	private final LinkedHashMap<Long, Integer> segments = new LinkedHashMap<>(16, 0.75f, true);
 
 	private long tokens;
 
 	/**
-	 * Notes that the server has read a part.
-	 * @param part the part
-	 * @param memoryTokens what the server's memory holds, in tokens
-	 * @return whether it was not known
+	 * Records that the server has prefilled a segment.
+	 * @param segment the segment
+	 * @param cacheCapacityTokens the capacity of the server's KV cache, in tokens
+	 * @return true if the segment was not recorded before
 	 */
-	boolean add(Part part, long memoryTokens) {
-		boolean known = this.parts.put(part.chain(), part.tokens()) != null;
-		if (!known) {
-			this.tokens += part.tokens();
-			forgetBeyond((long) (memoryTokens * SHARE));
+	boolean add(Part segment, long cacheCapacityTokens) {
+		boolean present = this.segments.put(segment.chain(), segment.tokens()) != null;
+		if (!present) {
+			this.tokens += segment.tokens();
+			evictBeyond((long) (cacheCapacityTokens * SHARED_FRACTION));
 		}
-		return !known;
+		return !present;
 	}
 
-	private void forgetBeyond(long most) {
-		Iterator<Map.Entry<Long, Integer>> eldest = this.parts.entrySet().iterator();
-		while ((this.tokens > most || this.parts.size() > MOST_PARTS) && this.parts.size() > 1) {
+	private void evictBeyond(long maxTokens) {
+		Iterator<Map.Entry<Long, Integer>> eldest = this.segments.entrySet().iterator();
+		while ((this.tokens > maxTokens || this.segments.size() > MAX_SEGMENTS) && this.segments.size() > 1) {
 			this.tokens -= eldest.next().getValue();
 			eldest.remove();
 		}
 	}
 
 	/**
-	 * What of a chain the server need not read.
-	 * @param shared the chain
-	 * @return the tokens of its parts up to the first one that is not known
+	 * Returns how much of a prompt prefix is cached.
+	 * @param prefix the prompt prefix
+	 * @return the number of tokens before the first segment that is not cached
 	 */
-	int held(SharedParts shared) {
-		int held = 0;
-		for (Part part : shared.parts()) {
-			if (!this.parts.containsKey(part.chain())) {
-				return held;
+	int cachedTokens(SharedParts prefix) {
+		int cached = 0;
+		for (Part segment : prefix.parts()) {
+			if (!this.segments.containsKey(segment.chain())) {
+				return cached;
 			}
-			held += part.tokens();
+			cached += segment.tokens();
 		}
-		return held;
+		return cached;
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartNews.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartNews.java
@@ -9,41 +9,45 @@
 import org.rosemaryfront.dispatch.SharedParts.Part;
 
 /**
- * Which parts servers read of late, to be told to the other processes. Each is told
- * twice: a report may be lost, and what is not told is read a second time elsewhere.
+ * Collects the segments that servers recently prefilled, to be reported to the other
+ * processes. Each segment is reported twice: a report may be lost, and an unreported
+ * segment is prefilled again at another server.
  */
 final class PartNews {
 
-	/** Parts told at once; a report stays well below the size of a datagram. */
-	private static final int MOST = 48;
+	/**
+	 * The maximum number of new segments in a report, which keeps reports well below the
+	 * maximum size of a datagram.
+	 */
+	private static final int MAX_NEW_SEGMENTS = 48;
 
-	private List<Entry> told = List.of();
+	private List<Entry> lastReported = List.of();
 
-	private List<Entry> fresh = new ArrayList<>();
+	private List<Entry> pending = new ArrayList<>();
 
-	void add(Start server, Part part) {
-		if (this.fresh.size() < MOST) {
-			this.fresh.add(new Entry(server, part));
+	void add(Start server, Part segment) {
+		if (this.pending.size() < MAX_NEW_SEGMENTS) {
+			this.pending.add(new Entry(server, segment));
 		}
 	}
 
 	/**
-	 * What is to be told now.
-	 * @return the parts by server
+	 * Returns the segments for the next report.
+	 * @return the segments by server
 	 */
 	Map<Start, List<Part>> take() {
-		Map<Start, List<Part>> news = new HashMap<>();
-		this.told.forEach((entry) -> entry.addTo(news));
-		this.fresh.forEach((entry) -> entry.addTo(news));
-		this.told = this.fresh;
-		this.fresh = new ArrayList<>();
-		return news;
+		Map<Start, List<Part>> updates = new HashMap<>();
+		this.lastReported.forEach((entry) -> entry.addTo(updates));
+		this.pending.forEach((entry) -> entry.addTo(updates));
+		this.lastReported = this.pending;
+		this.pending = new ArrayList<>();
+		return updates;
 	}
 
-	private record Entry(Start server, Part part) {
+	private record Entry(Start server, Part segment) {
 
-		private void addTo(Map<Start, List<Part>> news) {
-			news.computeIfAbsent(this.server, (_) -> new ArrayList<>()).add(this.part);
+		private void addTo(Map<Start, List<Part>> updates) {
+			updates.computeIfAbsent(this.server, (_) -> new ArrayList<>()).add(this.segment);
 		}
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/UsageLedger.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/UsageLedger.java
@@ -7,22 +7,23 @@
 
 /**
  * Counts the calls that began to run, by organisation and by window of the wall clock.
- * Window k begins k times its length after the start of 1970.
+ * Window {@code k} begins {@code k} window lengths after the start of 1970.
  */
 public final class UsageLedger {
 
 	/**
-	 * How long after its end a window still takes counts, in milliseconds: an answer that
-	 * is under way on the traffic thread belongs to the window in which it began.
+	 * How long a window still accepts counts after its end, in milliseconds: a response
+	 * that is being processed on the traffic thread belongs to the window in which its
+	 * call began.
 	 */
-	private static final long SETTLE_MILLIS = 200;
+	private static final long GRACE_MILLIS = 200;
 
 	private final long windowMillis;
 
-	private final TreeMap<Long, TreeMap<String, Long>> open = new TreeMap<>();
+	private final TreeMap<Long, TreeMap<String, Long>> openWindows = new TreeMap<>();
 
 	/**
-	 * A ledger without counts.
+	 * Creates an empty ledger.
 	 * @param windowMillis the length of a window, in milliseconds
 	 */
 	public UsageLedger(long windowMillis) {
@@ -32,54 +33,55 @@
 	/**
 	 * Counts a call.
 	 * @param organisation the organisation
-	 * @param epochMillis when the call began to run, on the wall clock
+	 * @param epochMillis when the call began to run, in milliseconds since 1970
 	 */
 	public void began(String organisation, long epochMillis) {
-		this.open.computeIfAbsent(epochMillis / this.windowMillis, (_) -> new TreeMap<>())
+		this.openWindows.computeIfAbsent(epochMillis / this.windowMillis, (_) -> new TreeMap<>())
 			.merge(organisation, 1L, Long::sum);
 	}
 
 	/**
-	 * The counts so far of the window under way.
-	 * @param epochMillis the time
+	 * Returns the counts so far of the current window.
+	 * @param epochMillis the current time, in milliseconds since 1970
 	 * @return the window
 	 */
 	public Window current(long epochMillis) {
 		long index = epochMillis / this.windowMillis;
-		return new Window(index, this.open.getOrDefault(index, new TreeMap<>()));
+		return new Window(index, this.openWindows.getOrDefault(index, new TreeMap<>()));
 	}
 
 	/**
-	 * Takes out the windows that are over.
-	 * @param epochMillis the time
+	 * Removes and returns the windows that are over.
+	 * @param epochMillis the current time, in milliseconds since 1970
 	 * @return the windows that have counts, oldest first
 	 */
 	public List<Window> close(long epochMillis) {
 		List<Window> closed = new ArrayList<>();
-		long current = (epochMillis - SETTLE_MILLIS) / this.windowMillis;
-		while (!this.open.isEmpty() && this.open.firstKey() < current) {
-			Map.Entry<Long, TreeMap<String, Long>> oldest = this.open.pollFirstEntry();
+		long current = (epochMillis - GRACE_MILLIS) / this.windowMillis;
+		while (!this.openWindows.isEmpty() && this.openWindows.firstKey() < current) {
+			Map.Entry<Long, TreeMap<String, Long>> oldest = this.openWindows.pollFirstEntry();
 			closed.add(new Window(oldest.getKey(), oldest.getValue()));
 		}
 		return closed;
 	}
 
 	/**
-	 * Takes out all windows, also the one that is not over; for the end of the process.
+	 * Removes and returns all windows, including the current one; called when the process
+	 * stops.
 	 * @return the windows that have counts, oldest first
 	 */
 	public List<Window> closeAll() {
 		List<Window> closed = new ArrayList<>();
-		this.open.forEach((index, counts) -> closed.add(new Window(index, counts)));
-		this.open.clear();
+		this.openWindows.forEach((index, counts) -> closed.add(new Window(index, counts)));
+		this.openWindows.clear();
 		return closed;
 	}
 
 	/**
 	 * The counts of one window.
 	 *
-	 * @param index the number of the window
-	 * @param counts the calls by organisation
+	 * @param index the index of the window
+	 * @param counts the number of calls by organisation
 	 */
 	public record Window(long index, Map<String, Long> counts) {
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/FirstTokenModelTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/FirstTokenModelTests.java
@@ -17,87 +17,88 @@
 
 	private final FirstTokenModel model = new FirstTokenModel();
 
-	// A deployment comes with engines that nobody described. Placed and refused by the
-	// speed of others, calls went to servers that were behind, or were refused by idle
-	// ones.
+	// A deployment has engines with unknown parameters. With the parameters of other
+	// engines, calls were sent to servers with long queues or rejected although servers
+	// were idle.
 	@ParameterizedTest
 	@CsvSource({ "12, 66, 0.3, 0.28", "15, 20, 0.1, 0.5", "40, 180, 1.0, 0.05" })
-	void shouldLearnEnginesThatNobodyDescribed(double first, double tokensPerMilli, double perCall, double perPair) {
+	void shouldFitModelWhenEngineIsUnknown(double base, double tokensPerMilli, double perCall, double perPair) {
 		Random random = new Random(7);
 		for (int i = 0; i < 800; i++) {
 			Work work = work(random);
-			this.model.learn(work, noise(random) * millis(work, first, tokensPerMilli, perCall, perPair));
+			this.model.learn(work, noise(random) * millis(work, base, tokensPerMilli, perCall, perPair));
 		}
-		int near = 0;
+		int accurate = 0;
 		for (int i = 0; i < 200; i++) {
 			Work work = work(random);
-			double ratio = millis(work, first, tokensPerMilli, perCall, perPair) / this.model.expectedMillis(work);
-			near += (ratio > 0.67 && ratio < 1.5) ? 1 : 0;
+			double ratio = millis(work, base, tokensPerMilli, perCall, perPair) / this.model.expectedMillis(work);
+			accurate += (ratio > 0.67 && ratio < 1.5) ? 1 : 0;
 		}
-		assertThat(near).isGreaterThanOrEqualTo(160);
-		double usual = 4_000 / (4_000 / tokensPerMilli + 10 * perPair);
-		assertThat(this.model.tokensPerMilli()).isCloseTo(usual, within(0.25 * usual));
+		assertThat(accurate).isGreaterThanOrEqualTo(160);
+		double typical = 4_000 / (4_000 / tokensPerMilli + 10 * perPair);
+		assertThat(this.model.tokensPerMilli()).isCloseTo(typical, within(0.25 * typical));
 	}
 
 	@Test
-	void shouldExpectCautiouslyBeforeItKnows() {
+	void shouldExpectConservativelyWhenNothingIsMeasured() {
 		assertThat(this.model.expectedMillis(Work.of(0, 5_000, 5_000, 0))).isBetween(100.0, 200.0);
 		assertThat(this.model.learned()).isEmpty();
 	}
 
-	// One call is answered after a long pause of its server. It may not make every server
-	// of the service seem slow.
+	// One call is answered after a long process pause of its server. It must not make
+	// every server of the service appear slow.
 	@Test
-	void shouldBoundWhatOneOddCallCounts() {
-		teach(200, new Random(3), 66);
-		Work usual = Work.of(0, 4_000, 8_000, 4);
-		double before = this.model.expectedMillis(usual);
-		this.model.learn(usual, 60_000);
-		assertThat(this.model.expectedMillis(usual)).isLessThan(1.1 * before);
+	void shouldLimitInfluenceWhenCallIsOutlier() {
+		updateModel(200, new Random(3), 66);
+		Work typical = Work.of(0, 4_000, 8_000, 4);
+		double before = this.model.expectedMillis(typical);
+		this.model.learn(typical, 60_000);
+		assertThat(this.model.expectedMillis(typical)).isLessThan(1.1 * before);
 	}
 
-	// Seconds with little to do tell the time that a prompt takes, but hardly whether its
-	// tokens or its pairs take it. A size planned by what each alone seems to take swings
-	// to half and to twice of what is needed.
+	// Under low load, measurements show the total prefill time of a prompt, but hardly
+	// whether tokens or token pairs cause it. A service size planned from either
+	// coefficient alone varies between half and twice the required one.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8, 9, 10 })
-	void shouldKnowSpeedFromFewCallsOfCalmSeconds(long seed) {
+	void shouldEstimatePrefillRateWhenLoadIsLow(long seed) {
 		Random random = new Random(seed);
 		for (int i = 0; i < 60; i++) {
-			int prompt = 1_500 + random.nextInt(9_000);
-			Work work = Work.of(0, prompt / 2, prompt, random.nextInt(4));
+			int promptTokens = 1_500 + random.nextInt(9_000);
+			Work work = Work.of(0, promptTokens / 2, promptTokens, random.nextInt(4));
 			this.model.learn(work, noise(random) * millis(work, 12, 66, 0.3, 0.28));
 		}
 		assertThat(this.model.tokensPerMilli()).isBetween(40.0, 95.0);
 	}
 
 	@Test
-	void shouldFollowEnginesThatChange() {
+	void shouldAdaptWhenPrefillRateChanges() {
 		Random random = new Random(5);
-		teach(2_000, random, 66);
-		teach(2_000, random, 33);
+		updateModel(2_000, random, 66);
+		updateModel(2_000, random, 33);
 		assertThat(this.model.tokensPerMilli()).isCloseTo(32, within(5.0));
 	}
 
-	// A process that was restarted hears from the others what they learned.
+	// A restarted process receives the coefficients that the other processes have
+	// fitted.
 	@Test
-	void shouldBeginWithWhatAnotherProcessLearned() {
-		teach(200, new Random(1), 20);
-		FirstTokenModel fresh = new FirstTokenModel();
-		fresh.adopt(this.model.learned());
-		assertThat(fresh.tokensPerMilli()).isCloseTo(20, within(5.0));
+	void shouldUseCoefficientsOfAnotherProcessWhenNothingIsMeasured() {
+		updateModel(200, new Random(1), 20);
+		FirstTokenModel other = new FirstTokenModel();
+		other.adopt(this.model.learned());
+		assertThat(other.tokensPerMilli()).isCloseTo(20, within(5.0));
 	}
 
 	@ParameterizedTest
 	@ValueSource(doubles = { 0, -1, Double.NaN, Double.POSITIVE_INFINITY, 1e9 })
-	void shouldNotTakeRatesThatMakeNoSense(double rate) {
+	void shouldIgnoreCoefficientsWhenInvalid(double rate) {
 		double before = this.model.tokensPerMilli();
 		this.model.adopt(List.of(12.0, rate, 0.3, 0.28));
 		this.model.adopt(List.of(12.0));
 		assertThat(this.model.tokensPerMilli()).isEqualTo(before);
 	}
 
-	private void teach(int calls, Random random, double tokensPerMilli) {
+	private void updateModel(int calls, Random random, double tokensPerMilli) {
 		for (int i = 0; i < calls; i++) {
 			Work work = work(random);
 			this.model.learn(work, millis(work, 12, tokensPerMilli, 0.3, 0.28));
@@ -105,14 +106,14 @@
 	}
 
 	private static Work work(Random random) {
-		int prompt = 200 + (int) Math.min(40_000, Math.exp(7.5 + 1.2 * random.nextGaussian()));
-		int unread = (int) (prompt * (0.2 + 0.8 * random.nextDouble()));
-		int ahead = random.nextBoolean() ? 0 : random.nextInt(12_000);
-		return Work.of(ahead, unread, prompt, random.nextInt(20));
+		int promptTokens = 200 + (int) Math.min(40_000, Math.exp(7.5 + 1.2 * random.nextGaussian()));
+		int uncachedTokens = (int) (promptTokens * (0.2 + 0.8 * random.nextDouble()));
+		int queuedTokens = random.nextBoolean() ? 0 : random.nextInt(12_000);
+		return Work.of(queuedTokens, uncachedTokens, promptTokens, random.nextInt(20));
 	}
 
-	private static double millis(Work work, double first, double tokensPerMilli, double perCall, double perPair) {
-		return first + work.tokens() / tokensPerMilli + perCall * work.calls() + perPair * work.pairs();
+	private static double millis(Work work, double base, double tokensPerMilli, double perCall, double perPair) {
+		return base + work.tokens() / tokensPerMilli + perCall * work.calls() + perPair * work.tokenPairs();
 	}
 
 	private static double noise(Random random) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ReclaimWaveTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ReclaimWaveTests.java
@@ -22,10 +22,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A wave of reclaims: all reclaimable servers of one zone after the other get two to
- * three seconds of notice, some seconds apart and in any order, and for twelve seconds
- * and more no reclaimable VM is to be had anywhere. VMs boot for four seconds. Time is
- * virtual.
+ * Simulates correlated reclaims: the reclaimable servers of one zone after the other get
+ * two to three seconds of notice, some seconds apart and in any order, and no reclaimable
+ * VM is available in any zone for twelve seconds or more. VMs take four seconds to boot.
+ * Time is virtual.
  */
 class ReclaimWaveTests {
 
@@ -35,8 +35,8 @@
 
 	private static final List<String> ZONES = List.of("a", "b", "c");
 
-	/** What an engine reads in a second, in tokens; as calls showed it */
-	private static final double SPEED = 56_000;
+	/** The prefill rate of an engine as measured from calls, in tokens per second. */
+	private static final double PREFILL_RATE = 56_000;
 
 	private static final ServiceSpec LLM = new ServiceSpec("llm", 100, Optional.of(new EngineSpec(64, 500_000, 0, 0)),
 			Optional.of(new ScalingSpec(1, 12, 4_000, 0.2, Map.of("a", 0.8, "b", 1.0, "c", 1.2))));
@@ -49,46 +49,49 @@
 
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16 })
-	void shouldFallBackInWaveAndReturnBehindIt(long seed) {
+	void shouldFallBackToOnDemandServersAndReturnWhenZonesAreReclaimed(long seed) {
 		SplittableRandom random = new SplittableRandom(seed);
-		Demand demand = new Demand(150_000 + random.nextInt(250_000), SPEED, 0, 3);
-		int wave = 600;
-		int dryUntil = wave + 120 + random.nextInt(40);
-		Map<String, Integer> noticed = new HashMap<>();
-		int gap = 0;
+		Demand demand = new Demand(150_000 + random.nextInt(250_000), PREFILL_RATE, 0, 3);
+		int reclaimStart = 600;
+		int unavailableUntil = reclaimStart + 120 + random.nextInt(40);
+		Map<String, Integer> noticeTimes = new HashMap<>();
+		int delay = 0;
 		for (String zone : shuffled(random)) {
-			noticed.put(zone, wave + gap);
-			gap += random.nextInt(60);
+			noticeTimes.put(zone, reclaimStart + delay);
+			delay += random.nextInt(60);
 		}
 		for (int tenth = 0; tenth < 1_200; tenth++) {
-			this.cloud.dry = tenth >= wave && tenth < dryUntil;
+			this.cloud.reclaimableUnavailable = tenth >= reclaimStart && tenth < unavailableUntil;
 			for (String zone : ZONES) {
-				if (noticed.get(zone) == tenth) {
+				if (noticeTimes.get(zone) == tenth) {
 					this.cloud.reclaim(zone);
 				}
 			}
-			this.cloud.boot(tenth);
-			Plan wanted = this.plan.plan(LLM, ZONES, demand, tenth * TENTH);
-			order(wanted, tenth);
-			int least = (int) Math.ceil(wanted.need() * 0.7);
-			if (tenth >= 550 && tenth < wave) {
-				assertThat(this.cloud.all()).as("before the wave").isGreaterThanOrEqualTo(least);
+			this.cloud.completeBoots(tenth);
+			Plan planned = this.plan.plan(LLM, ZONES, demand, tenth * TENTH);
+			placeOrders(planned, tenth);
+			int minServers = (int) Math.ceil(planned.requiredServers() * 0.7);
+			if (tenth >= 550 && tenth < reclaimStart) {
+				assertThat(this.cloud.totalRunning()).as("servers before the reclaim")
+					.isGreaterThanOrEqualTo(minServers);
 			}
-			// From the first refusal on, what is short is ordered, without the next zone.
-			if (tenth > wave + 5) {
-				assertThat(this.cloud.all() + this.cloud.booting()).as("at %s", tenth).isGreaterThanOrEqualTo(least);
+			// After the first refusal the missing servers are ordered without counting
+			// on the next zone.
+			if (tenth > reclaimStart + 5) {
+				assertThat(this.cloud.totalRunning() + this.cloud.totalBooting()).as("servers in tenth %s", tenth)
+					.isGreaterThanOrEqualTo(minServers);
 			}
-			assertThat(this.cloud.ordersOfSecond).as("orders at %s", tenth).isLessThanOrEqualTo(12);
+			assertThat(this.cloud.ordersOfSecond).as("orders in tenth %s", tenth).isLessThanOrEqualTo(12);
 			if (tenth % 10 == 9) {
 				this.cloud.ordersOfSecond = 0;
 			}
 		}
-		Plan wanted = this.plan.plan(LLM, ZONES, demand, 1_200 * TENTH);
-		assertThat(this.cloud.present()).as("behind the wave").isEqualTo(new TreeMap<>(wanted.zones()));
+		Plan planned = this.plan.plan(LLM, ZONES, demand, 1_200 * TENTH);
+		assertThat(this.cloud.present()).as("servers after the reclaim").isEqualTo(new TreeMap<>(planned.zones()));
 	}
 
-	private void order(Plan wanted, int tenth) {
-		for (Size size : this.orders.next(LLM, wanted, this.cloud.present(), tenth * TENTH)) {
+	private void placeOrders(Plan planned, int tenth) {
+		for (Size size : this.orders.next(LLM, planned, this.cloud.present(), tenth * TENTH)) {
 			if (this.cloud.order(size, tenth)) {
 				this.orders.taken(size);
 			}
@@ -107,63 +110,67 @@
 		return order;
 	}
 
-	/** A cloud that boots what is ordered, and has no reclaimable VMs while it is dry. */
+	/**
+	 * A cloud provider that boots the ordered servers, but has no reclaimable VMs while
+	 * {@code reclaimableUnavailable} is set.
+	 */
 	private static final class Cloud {
 
-		private final Map<Size.Sort, Integer> running = new HashMap<>();
+		private final Map<Size.Pool, Integer> running = new HashMap<>();
 
-		private final Map<Size.Sort, List<Integer>> booting = new HashMap<>();
+		private final Map<Size.Pool, List<Integer>> bootingByPool = new HashMap<>();
 
-		private boolean dry;
+		private boolean reclaimableUnavailable;
 
 		private int ordersOfSecond;
 
 		private boolean order(Size size, int tenth) {
 			this.ordersOfSecond++;
-			int runs = this.running.getOrDefault(size.sort(), 0);
-			List<Integer> boots = this.booting.computeIfAbsent(size.sort(), (_) -> new ArrayList<>());
-			if (size.reclaimable() && this.dry && size.servers() > runs + boots.size()) {
+			int runningServers = this.running.getOrDefault(size.pool(), 0);
+			List<Integer> bootTimes = this.bootingByPool.computeIfAbsent(size.pool(), (_) -> new ArrayList<>());
+			if (size.reclaimable() && this.reclaimableUnavailable
+					&& size.servers() > runningServers + bootTimes.size()) {
 				return false;
 			}
-			while (runs + boots.size() > size.servers() && !boots.isEmpty()) {
-				boots.removeLast();
+			while (runningServers + bootTimes.size() > size.servers() && !bootTimes.isEmpty()) {
+				bootTimes.removeLast();
 			}
-			while (runs + boots.size() < size.servers()) {
-				boots.add(tenth + BOOT_TENTHS);
+			while (runningServers + bootTimes.size() < size.servers()) {
+				bootTimes.add(tenth + BOOT_TENTHS);
 			}
-			this.running.put(size.sort(), Math.min(runs, size.servers()));
+			this.running.put(size.pool(), Math.min(runningServers, size.servers()));
 			return true;
 		}
 
-		private void boot(int tenth) {
-			this.booting.forEach((sort, ready) -> {
+		private void completeBoots(int tenth) {
+			this.bootingByPool.forEach((pool, ready) -> {
 				int before = ready.size();
 				ready.removeIf((at) -> at <= tenth);
-				this.running.merge(sort, before - ready.size(), Integer::sum);
+				this.running.merge(pool, before - ready.size(), Integer::sum);
 			});
 		}
 
 		private void reclaim(String zone) {
-			Size.Sort sort = new Size.Sort("llm", zone, true);
-			this.running.put(sort, 0);
-			this.booting.remove(sort);
+			Size.Pool pool = new Size.Pool("llm", zone, true);
+			this.running.put(pool, 0);
+			this.bootingByPool.remove(pool);
 		}
 
 		private Map<String, ZoneSize> present() {
 			Map<String, ZoneSize> present = new TreeMap<>();
 			for (String zone : ZONES) {
-				present.put(zone, new ZoneSize(this.running.getOrDefault(new Size.Sort("llm", zone, false), 0),
-						this.running.getOrDefault(new Size.Sort("llm", zone, true), 0)));
+				present.put(zone, new ZoneSize(this.running.getOrDefault(new Size.Pool("llm", zone, false), 0),
+						this.running.getOrDefault(new Size.Pool("llm", zone, true), 0)));
 			}
 			return present;
 		}
 
-		private int all() {
+		private int totalRunning() {
 			return this.running.values().stream().mapToInt(Integer::intValue).sum();
 		}
 
-		private int booting() {
-			return this.booting.values().stream().mapToInt(List::size).sum();
+		private int totalBooting() {
+			return this.bootingByPool.values().stream().mapToInt(List::size).sum();
 		}
 
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizePlanTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizePlanTests.java
@@ -26,105 +26,119 @@
 
 	private static final List<String> ZONES = List.of("a", "b", "c");
 
-	/** What an engine reads in a second, in tokens; as calls showed it */
-	private static final double SPEED = 56_000;
+	/** The prefill rate of an engine as measured from calls, in tokens per second. */
+	private static final double PREFILL_RATE = 56_000;
 
 	private static final ServiceSpec LLM = service(0.2);
 
-	/** Spare reclaimable servers in three zones cost more than one that lasts. */
-	private static final ServiceSpec DEAR_SPARES = service(0.4);
+	/** Spare reclaimable servers in three zones cost more than one on-demand server. */
+	private static final ServiceSpec EXPENSIVE_SPARES = service(0.4);
 
 	private final SizePlan plan = new SizePlan();
 
-	// Reclaims come in waves: all reclaimable servers of one zone after the other are
-	// taken within seconds, and no order is carried out meanwhile. What is not
-	// reclaimable is all that is left.
+	// Reclaims are correlated: the reclaimable servers of one zone after the other are
+	// terminated within seconds, and no order is carried out meanwhile. Only on-demand
+	// servers remain.
 	@Test
-	void shouldKeepLastingServersForLargeNeed() {
-		Plan sizes = this.plan.plan(DEAR_SPARES, ZONES, new Demand(320_000, SPEED, 0, 9), 0);
+	void shouldPlanOnDemandServersWhenSparesAreExpensive() {
+		Plan sizes = this.plan.plan(EXPENSIVE_SPARES, ZONES, new Demand(320_000, PREFILL_RATE, 0, 9), 0);
 		assertThat(sizes.zones().values().stream().mapToInt(ZoneSize::lasting).sum()).isEqualTo(5);
 		assertThat(sizes.zones().get("a").lasting()).isGreaterThanOrEqualTo(sizes.zones().get("c").lasting());
 	}
 
-	// Two waves follow each other, and for some seconds a single zone serves. Lasting
-	// servers that make up for it cost a day 0.2 of what it is worth; where spares cost a
-	// fifth, the same servers stand three times over for less.
+	// Two correlated reclaims follow each other, and a single zone serves for some
+	// seconds. On-demand servers that make up for it cost 0.2 of the value of a day; if
+	// a reclaimable server costs a fifth of that, the same number of servers in each of
+	// the three zones costs less.
 	@ParameterizedTest
 	@ValueSource(doubles = { 120_000, 200_000, 320_000, 440_000 })
-	void shouldCarryPartOfNeedInAnySingleZoneWhenSparesAreCheap(double tokens) {
-		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(tokens, SPEED, 0, 9), 0);
-		int lasting = sizes.zones().values().stream().mapToInt(ZoneSize::lasting).sum();
-		assertThat(lasting).isEqualTo(1);
+	void shouldProvideFractionInAnySingleZoneWhenSparesAreCheap(double tokens) {
+		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(tokens, PREFILL_RATE, 0, 9), 0);
+		int onDemand = sizes.zones().values().stream().mapToInt(ZoneSize::lasting).sum();
+		assertThat(onDemand).isEqualTo(1);
 		sizes.zones()
 			.values()
-			.forEach((zone) -> assertThat(lasting + zone.reclaimable())
-				.isGreaterThanOrEqualTo(Math.min(6, (int) Math.ceil(sizes.need() * 0.6))));
+			.forEach((zone) -> assertThat(onDemand + zone.reclaimable())
+				.isGreaterThanOrEqualTo(Math.min(6, (int) Math.ceil(sizes.requiredServers() * 0.6))));
 	}
 
-	// A flood of seven seconds is over when a wave begins. Replaced one by one at the
-	// full price, what the flood had needed ran for half a minute beside it.
+	// A traffic peak of seven seconds is over when a reclaim begins. When its capacity
+	// was replaced one by one with on-demand VMs, they ran idle for half a minute.
 	@Test
-	void shouldForgetPeakSoonForWhatIsDear() {
-		this.plan.plan(LLM, ZONES, new Demand(430_000, SPEED, 0, 0), 100 * SECOND);
-		Plan behind = this.plan.plan(LLM, ZONES, new Demand(120_000, SPEED, 0, 0), 107 * SECOND);
-		assertThat(behind.needOfLate()).isLessThan(0.3 * behind.need());
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(120_000, SPEED, 0, 0), 108 * SECOND).needOfLate())
-			.isEqualTo(behind.needOfLate());
+	void shouldForgetRecentPeakWhenPeakIsOver() {
+		this.plan.plan(LLM, ZONES, new Demand(430_000, PREFILL_RATE, 0, 0), 100 * SECOND);
+		Plan afterPeak = this.plan.plan(LLM, ZONES, new Demand(120_000, PREFILL_RATE, 0, 0), 107 * SECOND);
+		assertThat(afterPeak.recentRequiredServers()).isLessThan(0.3 * afterPeak.requiredServers());
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(120_000, PREFILL_RATE, 0, 0), 108 * SECOND)
+			.recentRequiredServers()).isEqualTo(afterPeak.recentRequiredServers());
 	}
 
 	@Test
-	void shouldKeepOneLastingServerHoweverSmallTheNeed() {
-		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 0), 0);
+	void shouldPlanOneOnDemandServerWhenThereIsNoLoad() {
+		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(0, PREFILL_RATE, 0, 0), 0);
 		assertThat(sizes.zones().values().stream().mapToInt(ZoneSize::lasting).sum()).isEqualTo(1);
 	}
 
 	@Test
-	void shouldCarryNeedWithoutOneZone() {
-		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(320_000, SPEED, 0, 9), 0);
+	void shouldProvideRequiredCapacityWhenOneZoneIsLost() {
+		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(320_000, PREFILL_RATE, 0, 9), 0);
 		for (String lost : ZONES) {
-			int left = sizes.zones()
+			int remaining = sizes.zones()
 				.entrySet()
 				.stream()
 				.filter((zone) -> !zone.getKey().equals(lost))
 				.mapToInt((zone) -> zone.getValue().lasting() + zone.getValue().reclaimable())
 				.sum();
-			assertThat(left + 2).as("without %s", lost).isGreaterThanOrEqualTo((int) Math.ceil(sizes.need()));
+			assertThat(remaining + 2).as("without %s", lost)
+				.isGreaterThanOrEqualTo((int) Math.ceil(sizes.requiredServers()));
 		}
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "0, 0, 0", "100000, 0, 3", "0, 100, 3", "10000000, 0, 3" })
-	void shouldStayWithinBounds(double tokens, int running, int present) {
-		this.plan.plan(LLM, ZONES, new Demand(tokens, SPEED, running, present), 0).zones().values().forEach((zone) -> {
-			assertThat(zone.lasting() + zone.reclaimable()).isBetween(1, 6);
-			assertThat(zone.lasting()).isNotNegative();
-		});
+	void shouldStayWithinBoundsWhenLoadVaries(double tokens, int running, int present) {
+		this.plan.plan(LLM, ZONES, new Demand(tokens, PREFILL_RATE, running, present), 0)
+			.zones()
+			.values()
+			.forEach((zone) -> {
+				assertThat(zone.lasting() + zone.reclaimable()).isBetween(1, 6);
+				assertThat(zone.lasting()).isNotNegative();
+			});
 	}
 
-	// Traffic swings with a period of some tens of seconds: servers given back in the
-	// trough are missing at the next crest, four seconds of boot and cold caches away.
+	// Traffic oscillates with a period of some tens of seconds: servers released at the
+	// minimum are missing at the next peak, since replacements boot for four seconds and
+	// start with cold caches.
 	@Test
-	void shouldHoldPeakThroughTrough() {
-		double peak = this.plan.plan(LLM, ZONES, new Demand(300_000, SPEED, 0, 0), 100 * SECOND).need();
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(50_000, SPEED, 0, 0), 120 * SECOND).need()).isEqualTo(peak);
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(50_000, SPEED, 0, 0), 130 * SECOND).need()).isLessThan(peak);
+	void shouldRetainPeakWhenLoadDropsBriefly() {
+		double peak = this.plan.plan(LLM, ZONES, new Demand(300_000, PREFILL_RATE, 0, 0), 100 * SECOND)
+			.requiredServers();
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(50_000, PREFILL_RATE, 0, 0), 120 * SECOND).requiredServers())
+			.isEqualTo(peak);
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(50_000, PREFILL_RATE, 0, 0), 130 * SECOND).requiredServers())
+			.isLessThan(peak);
 	}
 
-	// The first seconds of traffic meet too few servers: those that ran at the start
-	// register one after the other, and the first plan took the part seen for all.
+	// The servers present at the start register one after the other. When the first plan
+	// took those registered so far for all, too few servers were left for the first
+	// seconds of traffic.
 	@Test
-	void shouldRaiseFirstNeedWhileServersRegister() {
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 4), 0).need()).isCloseTo(2.4, within(0.01));
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 10), SECOND).need()).isEqualTo(6);
+	void shouldRaiseInitialRequirementWhenServersRegister() {
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, PREFILL_RATE, 0, 4), 0).requiredServers()).isCloseTo(2.4,
+				within(0.01));
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, PREFILL_RATE, 0, 10), SECOND).requiredServers())
+			.isEqualTo(6);
 	}
 
-	// The processes start before the traffic: a plan from no traffic gives all servers
-	// back that the first second of traffic needs.
+	// The processes start before the traffic: a plan based on no traffic releases all
+	// servers required in the first second of traffic.
 	@Test
-	void shouldTakeFirstSizeAsNeededUntilTrafficShows() {
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 10), 0).need()).isEqualTo(6);
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 9), 29 * SECOND).need()).isEqualTo(6);
-		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, SPEED, 0, 9), 60 * SECOND).need()).isZero();
+	void shouldRequireInitialSizeWhenThereIsNoTrafficYet() {
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, PREFILL_RATE, 0, 10), 0).requiredServers()).isEqualTo(6);
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, PREFILL_RATE, 0, 9), 29 * SECOND).requiredServers())
+			.isEqualTo(6);
+		assertThat(this.plan.plan(LLM, ZONES, new Demand(0, PREFILL_RATE, 0, 9), 60 * SECOND).requiredServers())
+			.isZero();
 	}
 
 	private static ServiceSpec service(double reclaimablePrice) {
