--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/Freshness.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/Freshness.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How old the knowledge of a followed table is. An answer of the store proves that all
- * changes up to a moment are known; that nothing was heard proves nothing. May be used on
- * any thread.
+ * Tracks how long ago the local copy of a followed table was last confirmed to be
+ * current. A response of the store confirms that all changes up to a point in time have
+ * been received; the absence of updates confirms nothing. Thread-safe.
  *
  * <pre>
  * Freshness freshness = Freshness.unproven(TimeUnit.SECONDS.toNanos(3));
@@ -18,8 +18,9 @@
 public final class Freshness {
 
 	/**
-	 * By then reports that waited while the process stood still were taken, in
-	 * nanoseconds.
+	 * A confirmation in a report must be at least this much later than the end of a
+	 * process pause, in nanoseconds; the reports queued during the pause have been
+	 * processed by then.
 	 */
 	private static final long REPORT_WAIT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
@@ -27,10 +28,10 @@
 
 	private OptionalLong provenNanos = OptionalLong.empty();
 
-	/** When the last outage ended. */
+	/** When the last outage of the store ended. */
 	private OptionalLong returnedNanos = OptionalLong.empty();
 
-	/** When the process last went on after it stood still. */
+	/** When the process last resumed after a pause. */
 	private OptionalLong forgotNanos = OptionalLong.empty();
 
 	private Source source = Source.NOBODY;
@@ -39,25 +40,21 @@
 		this.outageNanos = outageNanos;
 	}
 
-	// -- factories
-
 	/**
-	 * A table of which nothing is known.
-	 * @param outageNanos the time between two proofs from which on the store counts as
-	 * having been away, in nanoseconds
-	 * @return its freshness
+	 * Creates the freshness of a table that has not been confirmed yet.
+	 * @param outageNanos the time between two confirmations from which on the store
+	 * counts as having been unavailable in between, in nanoseconds
+	 * @return the freshness
 	 */
 	public static Freshness unproven(long outageNanos) {
 		return new Freshness(outageNanos);
 	}
 
-	// -- changes
-
 	/**
-	 * Notes that all changes up to a moment are known.
-	 * @param atNanos the moment, on the monotonic clock; an earlier one than that known
-	 * changes nothing
-	 * @param by who proved it
+	 * Records that all changes up to a point in time have been received.
+	 * @param atNanos the point in time, on the monotonic clock; ignored if it is not
+	 * later than the last one
+	 * @param by the source of the confirmation
 	 */
 	public synchronized void proven(long atNanos, Source by) {
 		Objects.requireNonNull(by, "by is null");
@@ -80,10 +77,10 @@
 	}
 
 	/**
-	 * Forgets the last proof, since the process stood still. Its pause is no outage; what
-	 * was asked before it proves nothing about now, and reports may have waited in the
-	 * socket.
-	 * @param nowNanos the time at which it went on
+	 * Discards the last confirmation after a process pause. The pause is no outage of the
+	 * store. Responses to queries sent before it confirm nothing about the present, and
+	 * reports may have waited in the socket.
+	 * @param nowNanos the time at which the process resumed, on the monotonic clock
 	 */
 	public synchronized void forget(long nowNanos) {
 		this.provenNanos = OptionalLong.empty();
@@ -91,12 +88,10 @@
 		this.forgotNanos = OptionalLong.of(nowNanos);
 	}
 
-	// -- queries
-
 	/**
-	 * How long ago all changes were known.
-	 * @param nowNanos the time
-	 * @return the time in nanoseconds, empty while nothing was proven
+	 * Returns how long ago the local copy was last confirmed to be current.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the time in nanoseconds, empty while there is no confirmation
 	 */
 	public synchronized OptionalLong ageNanos(long nowNanos) {
 		return this.provenNanos.isPresent() ? OptionalLong.of(Math.max(0, nowNanos - this.provenNanos.getAsLong()))
@@ -104,42 +99,42 @@
 	}
 
 	/**
-	 * Whether all changes were known of late.
-	 * @param limitNanos how long ago at most, in nanoseconds
-	 * @param nowNanos the time
-	 * @return false also while nothing was proven
+	 * Returns whether the local copy was confirmed to be current within a period.
+	 * @param limitNanos the length of the period, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return false also while there is no confirmation
 	 */
 	public boolean isWithin(long limitNanos, long nowNanos) {
 		return ageNanos(nowNanos).orElse(Long.MAX_VALUE) < limitNanos;
 	}
 
 	/**
-	 * When the store last came back: what ended while it was away may only have lapsed.
-	 * @return the end of the last outage, on the monotonic clock, empty when there was
-	 * none
+	 * Returns when the store last became available again. Rows that ended during the
+	 * outage may only have expired, since they could not be renewed.
+	 * @return the end of the last outage, on the monotonic clock, empty if there was none
 	 */
 	public synchronized OptionalLong returnedNanos() {
 		return this.returnedNanos;
 	}
 
 	/**
-	 * Who gave the last proof.
+	 * Returns the source of the last confirmation.
 	 * @return the source
 	 */
 	public synchronized Source source() {
 		return this.source;
 	}
 
-	/** Who proves that a table is known as a whole. */
+	/** The source of a confirmation that the local copy of a table is current. */
 	public enum Source {
 
-		/** Nobody did yet. */
+		/** There is no confirmation. */
 		NOBODY,
 
-		/** The store, asked by this process. */
+		/** The store, queried by this process. */
 		STORE,
 
-		/** Another gateway, in a report. */
+		/** A report of another gateway. */
 		REPORT
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/FreshnessLimits.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/FreshnessLimits.java
@@ -3,28 +3,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How old the knowledge of a table may become before the store is asked whether anything
- * was missed. Whoever reads for the others asks first, so that a report with its proof
- * spares them the question.
+ * The maximum ages of the last confirmation of a table, after which a gateway queries the
+ * store for missed changes. Gateways that read for the others have shorter limits and
+ * query first, so that the confirmations in their reports avoid queries by the others.
  *
- * @param firstNanos for the first reader
- * @param standByNanos for the other readers
- * @param restingNanos for those who rest
- * @param ownNanos for what a reader was told by the store itself, to count as a reader
- * @param spreadNanos those who rest differ by up to this, so that one of them asks before
- * the others
+ * @param firstNanos the limit of the first reader, in nanoseconds
+ * @param standByNanos the limit of the other readers, in nanoseconds
+ * @param restingNanos the limit of the gateways that do not read, in nanoseconds
+ * @param ownNanos the maximum age of a gateway's own confirmation from the store for it
+ * to count as a reader, in nanoseconds
+ * @param spreadNanos the range over which the limits of resting gateways differ, in
+ * nanoseconds, so that one of them queries before the others
  */
 public record FreshnessLimits(long firstNanos, long standByNanos, long restingNanos, long ownNanos, long spreadNanos) {
 
 	/**
-	 * What is acknowledged is wanted in force within this time, where nothing else is
-	 * said.
+	 * The default time within which an acknowledged change must take effect, in
+	 * milliseconds.
 	 */
 	private static final long USUAL_BOUND_MILLIS = 2_000;
 
 	/**
-	 * With longer limits the time without a proof would reach that of an outage in which
-	 * registrations lapse.
+	 * With longer limits the time without a confirmation would reach that of an outage,
+	 * in which registrations expire.
 	 */
 	private static final double SCALE_MOST = 1.5;
 
@@ -32,7 +33,7 @@
 
 	private static final long STAND_BY_MILLIS = 800;
 
-	/** The first reader's, and the way of its report in a large fleet. */
+	/** The first reader's limit plus the transit time of its report in a large fleet. */
 	private static final long RESTING_MILLIS = 1_100;
 
 	private static final long OWN_MILLIS = 4_000;
@@ -40,7 +41,7 @@
 	private static final long SPREAD_MILLIS = 150;
 
 	/**
-	 * The limits where nothing else is said.
+	 * Returns the default limits.
 	 * @return the limits
 	 */
 	public static FreshnessLimits usual() {
@@ -48,9 +49,9 @@
 	}
 
 	/**
-	 * The limits for tables whose changes must be in force soon.
-	 * @param boundMillis within which a change must be in force, in milliseconds
-	 * @return the limits, as parts of the bound
+	 * Returns the limits for tables whose changes must take effect within a bound.
+	 * @param boundMillis the bound, in milliseconds
+	 * @return the limits, in proportion to the bound, at most 1.5 times the default ones
 	 */
 	public static FreshnessLimits within(long boundMillis) {
 		double scale = Math.min(SCALE_MOST, (double) boundMillis / USUAL_BOUND_MILLIS);
@@ -59,9 +60,9 @@
 	}
 
 	/**
-	 * Longer limits.
-	 * @param factor how many times longer
-	 * @return the limits
+	 * Returns the limits multiplied by a factor.
+	 * @param factor the factor
+	 * @return the longer limits
 	 */
 	public FreshnessLimits times(int factor) {
 		return new FreshnessLimits(this.firstNanos * factor, this.standByNanos * factor, this.restingNanos * factor,
@@ -73,9 +74,9 @@
 	}
 
 	/**
-	 * The limit for a role.
+	 * Returns the limit for a role.
 	 * @param role the role
-	 * @param place where a resting gateway stands among the others, from 0 to 1
+	 * @param place the position of a resting gateway within the spread, from 0 to 1
 	 * @return the limit in nanoseconds
 	 */
 	public long of(Role role, double place) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/Question.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/Question.java
@@ -1,23 +1,25 @@
 package org.rosemaryfront.tables;
 
-/** What is asked to follow a table. */
+/** A query that a gateway sends to follow a table. */
 public sealed interface Question {
 
-	/** All rows of the table, of the store. */
+	/** A query to the store for all rows of the table. */
 	record Whole() implements Question {
 	}
 
 	/**
-	 * The changes behind a version, of the store; the answer waits for the first one.
+	 * A query to the store for the changes after a version. The store responds once there
+	 * is a change.
 	 *
 	 * @param since the version
-	 * @param waitNanos the longest time to wait, in nanoseconds
+	 * @param waitNanos the maximum time to wait for a change, in nanoseconds
 	 */
 	record Feed(long since, long waitNanos) implements Question {
 	}
 
 	/**
-	 * The changes behind a version, of the store, answered at once.
+	 * A query to the store for the changes after a version. The store responds
+	 * immediately.
 	 *
 	 * @param since the version
 	 */
@@ -25,18 +27,18 @@
 	}
 
 	/**
-	 * All rows, of another gateway, if it knows more.
+	 * A query to another gateway for all rows, if its copy is newer.
 	 *
-	 * @param known the version up to which the table is known
+	 * @param known the version of the local copy
 	 */
 	record OfGateway(long known) implements Question {
 	}
 
 	/**
-	 * A question that goes out.
+	 * A query with the time at which it is sent.
 	 *
-	 * @param question what is asked
-	 * @param sentNanos when, on the monotonic clock
+	 * @param question the query
+	 * @param sentNanos the time at which it is sent, on the monotonic clock
 	 */
 	record Asked(Question question, long sentNanos) {
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/Role.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/Role.java
@@ -1,20 +1,20 @@
 package org.rosemaryfront.tables;
 
-/** What a gateway does for the knowledge that all gateways have of the store's tables. */
+/** The role of a gateway in keeping all gateways up to date with the store's tables. */
 public enum Role {
 
-	/** It reads them, and proves often that nothing was missed. */
+	/** Reads the tables and checks most often for missed changes. */
 	FIRST,
 
-	/** It reads them, so that the first one is not missed when it goes. */
+	/** Reads the tables, so that the others have a reader when the first one fails. */
 	STAND_BY,
 
-	/** It counts on those that read, as long as their reports prove enough. */
+	/** Relies on the readers as long as their reports confirm the tables often enough. */
 	RESTING;
 
 	/**
-	 * Whether it waits at the store for changes.
-	 * @return false when others tell it of them
+	 * Returns whether a gateway of this role waits at the store for changes.
+	 * @return false if it receives the changes from other gateways
 	 */
 	public boolean reads() {
 		return this != RESTING;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/TableFollower.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/TableFollower.java
@@ -12,13 +12,15 @@
 import org.rosemaryfront.tables.Question.Asked;
 
 /**
- * Decides what is asked to know a table of the store, from what was answered and told.
- * Times are on the monotonic clock, in nanoseconds. Not thread-safe.
+ * Decides which queries to send to keep a local copy of a table of the store up to date,
+ * based on the responses and on the reports of other gateways. Times are on the monotonic
+ * clock, in nanoseconds. Not thread-safe.
  *
  * <p>
- * A connection may stay open and carry nothing, and the store may serve some gateways and
- * not others, so that silence never counts as "nothing changed": once the last proof is
- * older than a limit the store is asked, whatever else is under way.
+ * A connection may stay open without carrying anything, and the store may serve some
+ * gateways and not others. The absence of updates therefore never counts as the absence
+ * of changes: once the last confirmation is older than a limit, the store is queried,
+ * whatever other queries are pending.
  *
  * <pre>
  * TableFollower follower = TableFollower.of(freshness, FreshnessLimits.within(2_000), random);
@@ -29,39 +31,45 @@
  */
 public final class TableFollower {
 
-	/** How long one question for changes waits at the store, in nanoseconds. */
+	/** How long the store holds one query for changes open, in nanoseconds. */
 	private static final long FEED_NANOS = TimeUnit.SECONDS.toNanos(20);
 
 	/**
-	 * The pause behind an answer with changes, in nanoseconds: servers start and leave
-	 * many at a time, and the next question is answered with all that came meanwhile.
+	 * The pause after a response with changes, in nanoseconds. Servers start and leave
+	 * many at a time, and the next response contains all changes made during the pause.
 	 */
 	private static final long MERGE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-	/** An unanswered question is asked once more behind this time, in nanoseconds. */
+	/** The time after which an unanswered query is sent again, in nanoseconds. */
 	private static final long AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-	/** The same for a whole table, which takes longer to send and to read. */
+	/**
+	 * The time after which an unanswered query for the whole table is sent again, in
+	 * nanoseconds. A whole table takes longer to send and to read.
+	 */
 	private static final long WHOLE_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
 	/**
-	 * What the store does not tell for so long is asked of another gateway, in
-	 * nanoseconds.
+	 * The time to wait for the store before another gateway is queried for a reported
+	 * change, in nanoseconds.
 	 */
 	private static final long GATEWAY_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
 	/**
-	 * A question for changes that waited so long when a check found changes is taken for
-	 * lost, in nanoseconds; its own answer may be on its way.
+	 * The age from which on a pending query for changes counts as lost when a check finds
+	 * changes, in nanoseconds. The response to a younger one may still be in transit.
 	 */
 	private static final long DEAF_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-	/** The first pause behind a failure, in nanoseconds; it doubles with each. */
+	/**
+	 * The backoff after the first failure, in nanoseconds; it doubles with each further
+	 * one.
+	 */
 	private static final long BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
 	/**
-	 * The longest pause, in nanoseconds: entries of servers are back two seconds after
-	 * the store is, and must be seen by then.
+	 * The maximum backoff, in nanoseconds. The entries of servers are back two seconds
+	 * after the store is available again, and must be read by then.
 	 */
 	private static final long BACKOFF_MOST_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
 
@@ -73,32 +81,34 @@
 
 	private final DoubleSupplier random;
 
-	/** Where this gateway stands among those who rest. */
+	/** The position of this gateway within the spread of the limits, from 0 to 1. */
 	private final double place;
 
 	private Role role = Role.STAND_BY;
 
-	/** What the store proved to this gateway itself. */
+	/** The confirmations that this gateway received from the store itself. */
 	private final Freshness own = Freshness.unproven(Long.MAX_VALUE);
 
 	private long version;
 
-	/** Whether the table has to be read as a whole. */
+	/** Whether the whole table has to be read. */
 	private boolean wholeWanted = true;
 
 	private Optional<Long> nextWholeNanos = Optional.empty();
 
-	/** The question for changes that is counted on. */
+	/** The pending query for changes. */
 	private Optional<Asked> feed = Optional.empty();
 
 	private Optional<Long> nextFeedNanos = Optional.empty();
 
 	private Optional<Long> nextCheckNanos = Optional.empty();
 
-	/** Since when a question that is answered at once waits for its answer. */
+	/**
+	 * Since when a query that is answered immediately has been waiting for its response.
+	 */
 	private Optional<Long> waitingNanos = Optional.empty();
 
-	/** The newest version that another gateway told of and that is not known here. */
+	/** The newest version reported by another gateway whose changes were missing here. */
 	private long toldVersion;
 
 	private Optional<Long> nextGatewayNanos = Optional.empty();
@@ -112,13 +122,11 @@
 		this.place = random.getAsDouble();
 	}
 
-	// -- factories
-
 	/**
-	 * Begins to follow a table.
-	 * @param freshness takes what is proven of the table
-	 * @param limits how old that may become
-	 * @param random from 0 to 1
+	 * Creates a follower that begins with reading the whole table.
+	 * @param freshness records the confirmations of the table
+	 * @param limits the maximum ages of the last confirmation
+	 * @param random a source of random numbers from 0 to 1
 	 * @return the follower
 	 */
 	public static TableFollower of(Freshness freshness, FreshnessLimits limits, DoubleSupplier random) {
@@ -127,13 +135,11 @@
 		return new TableFollower(freshness, limits, random);
 	}
 
-	// -- events
-
 	/**
-	 * Looks at what is due.
-	 * @param newRole what this gateway does for the others
-	 * @param nowNanos the time
-	 * @return what to ask now
+	 * Returns the queries that are due.
+	 * @param newRole the role of this gateway
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the queries to send now
 	 */
 	public List<Asked> tick(Role newRole, long nowNanos) {
 		this.role = newRole;
@@ -173,7 +179,7 @@
 		}
 	}
 
-	// The store may answer neither now nor later here, and serve other gateways.
+	// The store may never respond to this gateway and still serve others.
 	private void askGateway(List<Asked> questions, long nowNanos) {
 		boolean missing = this.toldVersion > this.version && (this.waitingNanos.isPresent() || this.failures > 0);
 		if (missing && isDue(this.nextGatewayNanos, nowNanos)) {
@@ -183,13 +189,13 @@
 	}
 
 	/**
-	 * The store answered. To be called before the rows are taken, so that it is known by
-	 * then whether the store was away.
-	 * @param asked the question
+	 * Processes a response of the store. Must be called before the rows are applied, so
+	 * that an outage of the store is known by then.
+	 * @param asked the query
 	 * @param answerVersion the version of the store
-	 * @param rows whether there were rows
-	 * @param nowNanos the time
-	 * @return what the answer is
+	 * @param rows whether the response contains rows
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the properties of the response
 	 */
 	public Answer answered(Asked asked, long answerVersion, boolean rows, long nowNanos) {
 		int failed = this.failures;
@@ -219,17 +225,20 @@
 				lost = rows ? deafFeed(nowNanos) : Optional.empty();
 				lost.ifPresent((deaf) -> feedOver(deaf, nowNanos));
 			}
-			case Question.OfGateway _ -> throw new IllegalArgumentException("the store is no gateway");
+			case Question.OfGateway _ ->
+				throw new IllegalArgumentException("a query to a gateway was answered by the store");
 		}
 		return new Answer(failed, lost, older, firstHand);
 	}
 
 	/**
-	 * The store did not answer.
-	 * @param asked the question
-	 * @param historyLost whether it does not keep the changes any more
-	 * @param nowNanos the time
-	 * @return what to ask another gateway, which the store may serve
+	 * Processes the failure of a query to the store.
+	 * @param asked the query
+	 * @param historyLost whether the store no longer keeps the changes after the queried
+	 * version
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the query to send to another gateway, which the store may serve; empty if
+	 * none is needed
 	 */
 	public Optional<Asked> failed(Asked asked, boolean historyLost, long nowNanos) {
 		long pause = jittered(historyLost ? BACKOFF_NANOS / 4
@@ -241,7 +250,7 @@
 			if (!counted || !this.role.reads()) {
 				return Optional.empty();
 			}
-			// A feed that breaks off may have told nothing for a while before.
+			// The feed may have delivered nothing for a while before it broke off.
 			this.wholeWanted = true;
 		}
 		else {
@@ -258,11 +267,12 @@
 	}
 
 	/**
-	 * Another gateway told of the table.
-	 * @param newest the version of the store up to which it knows the table
-	 * @param whole whether all that changed up to then is known here now
-	 * @param provenNanos when the table was proven there, empty when that is not known
-	 * @param nowNanos the time
+	 * Processes what another gateway reports of the table.
+	 * @param newest the version of the store up to which the other gateway has the table
+	 * @param whole whether the local copy now includes all changes up to that version
+	 * @param provenNanos when the copy of the other gateway was last confirmed to be
+	 * current, empty if unknown
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void told(long newest, boolean whole, Optional<Long> provenNanos, long nowNanos) {
 		if (whole) {
@@ -282,20 +292,19 @@
 	}
 
 	/**
-	 * The process stood still: what it knows is older than it looks.
-	 * @param nowNanos the time at which it went on
+	 * Discards all confirmations after a process pause, since the local copy is older
+	 * than it appears to be.
+	 * @param nowNanos the time at which the process resumed, on the monotonic clock
 	 */
 	public void paused(long nowNanos) {
 		this.own.forget(nowNanos);
 		this.freshness.forget(nowNanos);
 	}
 
-	// -- queries
-
 	/**
-	 * Whether it reads the table and its knowledge is fresh.
-	 * @param nowNanos the time
-	 * @return false when others should not count on it
+	 * Returns whether this gateway reads the table and its copy is up to date.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return false if other gateways should not rely on it
 	 */
 	public boolean isReading(long nowNanos) {
 		boolean answered = this.failures == 0 && !isUnanswered(nowNanos);
@@ -304,23 +313,26 @@
 	}
 
 	/**
-	 * How long ago the store proved to this gateway that all changes are known.
-	 * @param nowNanos the time
-	 * @return the time in nanoseconds, empty when it never did
+	 * Returns how long ago the store itself last confirmed to this gateway that the local
+	 * copy is current.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the time in nanoseconds, empty if there was no confirmation since the start
+	 * or the last process pause
 	 */
 	public OptionalLong ownAgeNanos(long nowNanos) {
 		return this.own.ageNanos(nowNanos);
 	}
 
 	/**
-	 * Whether the store did not answer the last question.
-	 * @return true from a failure to the next answer
+	 * Returns whether the last query to the store failed.
+	 * @return true from a failure until the next response
 	 */
 	public boolean isFailing() {
 		return this.failures > 0;
 	}
 
-	// Who reads for others does not count on what these tell.
+	// A gateway that reads for others does not rely on the confirmations that they
+	// report.
 	private boolean isOld(long nowNanos) {
 		boolean ownOld = this.role.reads() && !this.own.isWithin(this.limits.ownNanos() / 2, nowNanos);
 		return ownOld || !this.freshness.isWithin(this.limits.of(this.role, this.place), nowNanos);
@@ -347,8 +359,9 @@
 		}
 	}
 
-	// The moment up to which an answer proves that nothing is missing: changes that came
-	// before the end of a wait were sent at an unknown moment of it.
+	// Returns the time up to which a response confirms that all changes were received.
+	// Changes that arrived before the end of the wait were sent at an unknown time
+	// during it.
 	private static long provenNanos(Asked asked, boolean rows, long nowNanos) {
 		boolean waited = asked.question() instanceof Question.Feed && !rows;
 		return waited ? Math.min(nowNanos, asked.sentNanos() + FEED_NANOS) : asked.sentNanos();
@@ -371,13 +384,13 @@
 	}
 
 	/**
-	 * What an answer of the store is.
+	 * The properties of a response of the store.
 	 *
-	 * @param failuresBefore how many questions had failed in a row before it
-	 * @param lostFeed the question for changes that should have been answered before it,
-	 * and is not waited for any more
-	 * @param older whether it is older than what is known, and proves nothing
-	 * @param firstHand whether its rows are of changes that no other gateway told of
+	 * @param failuresBefore the number of consecutive failures before it
+	 * @param lostFeed the query for changes that should have been answered before it, and
+	 * whose response is no longer awaited
+	 * @param older whether it is older than the local copy, and confirms nothing
+	 * @param firstHand whether its rows hold changes that no other gateway reported
 	 */
 	public record Answer(int failuresBefore, Optional<Asked> lostFeed, boolean older, boolean firstHand) {
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/package-info.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/package-info.java
@@ -1,2 +1,5 @@
-/** What is known of the platform's tables, and how old that knowledge is. */
+/**
+ * Local copies of the platform's tables: how they are kept up to date, and how old they
+ * are.
+ */
 package org.rosemaryfront.tables;
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/FreshnessTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/FreshnessTests.java
@@ -33,8 +33,8 @@
 		assertThat(this.freshness.source()).isEqualTo(Source.STORE);
 	}
 
-	// Guards against taking a failed question, or a pause between proofs as they usually
-	// have, for an outage in which registrations lapse.
+	// Guards against taking a failed query, or a usual interval between confirmations,
+	// for an outage in which registrations expire.
 	@Test
 	void shouldSeeNoOutageWhenProofsFollowOneAnother() {
 		this.freshness.proven(100, Source.STORE);
@@ -61,9 +61,8 @@
 		assertThat(this.freshness.returnedNanos()).isEmpty();
 	}
 
-	// Guards against a VM that was suspended: what was asked or told before looks as
-	// young
-	// as it was then.
+	// Guards against confirmations from before the suspension of a VM: queries and
+	// reports of that time appear to be as young as they were then.
 	@Test
 	void shouldTakeNoProofOfBeforeThePause() {
 		this.freshness.forget(5_000);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleet.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleet.java
@@ -14,8 +14,9 @@
 import org.rosemaryfront.tables.Question.Asked;
 
 /**
- * Gateways that follow one table of a store on virtual time: their real decisions on what
- * to ask, and reports between them that are lost, late or told by few.
+ * Gateways that follow one table of a store in virtual time. They decide with the real
+ * code which queries to send, and exchange reports that may be lost, late or sent by few
+ * gateways.
  */
 final class SimulatedFleet {
 
@@ -31,10 +32,10 @@
 
 	private static final long FIRST_HAND = 1_000 * MILLI;
 
-	/** Reports that tell of a change. */
+	/** The number of reports that include a change. */
 	private static final int TIMES_TOLD = 3;
 
-	/** Changes that fit a report. */
+	/** The maximum number of changes in a report. */
 	private static final int FITTING = 3;
 
 	final SimulatedStore store;
@@ -69,9 +70,9 @@
 	}
 
 	/**
-	 * Does something later.
-	 * @param delayNanos how much later
-	 * @param action what
+	 * Schedules an action.
+	 * @param delayNanos the delay in nanoseconds
+	 * @param action the action
 	 */
 	void at(long delayNanos, Runnable action) {
 		this.events.add(new Event(this.now + delayNanos, this.order++, action));
@@ -86,15 +87,15 @@
 		this.now = untilNanos;
 	}
 
-	/** A server says that it leaves. */
+	/** Records that a server has announced that it is leaving. */
 	void change() {
 		this.store.change(this.now);
 	}
 
 	/**
-	 * How long it took until a gateway knew of all changes.
+	 * Returns the longest time that a gateway took to receive a change.
 	 * @param gateway the gateway
-	 * @return the worst time in milliseconds, those that it does not know yet included
+	 * @return the time in milliseconds, up to now for changes that it has not received
 	 */
 	long worstMillis(Gateway gateway) {
 		long worst = 0;
@@ -106,12 +107,12 @@
 		return worst / MILLI;
 	}
 
-	// A millisecond, and up to some more.
+	// A transit time of one millisecond and a random part.
 	private long way(int moreMillis) {
 		return MILLI + this.random.nextLong(moreMillis * MILLI);
 	}
 
-	/** A gateway. */
+	/** A simulated gateway. */
 	final class Gateway {
 
 		final int index;
@@ -123,7 +124,7 @@
 		private final TableFollower follower = TableFollower.of(this.freshness, SimulatedFleet.this.limits,
 				SimulatedFleet.this.random::nextDouble);
 
-		/** When each change was learned, -1 for those that were not. */
+		/** When each change was received, -1 for those that were not. */
 		private final List<Long> learned = new ArrayList<>();
 
 		private final BitSet knows = new BitSet();
@@ -134,7 +135,10 @@
 
 		private long version;
 
-		/** Who told of changes that are not known here; null when it is of no matter. */
+		/**
+		 * The gateway that reported changes that are missing here; null if any gateway
+		 * may be queried.
+		 */
 		private Gateway teller;
 
 		private boolean urgent;
@@ -151,10 +155,10 @@
 
 		long pausedUntil;
 
-		/** Whether its reports reach nobody. */
+		/** Whether its reports reach no other gateway. */
 		boolean mute;
 
-		/** Whether it hears no reports. */
+		/** Whether no reports reach it. */
 		boolean deaf;
 
 		Gateway(int index) {
@@ -195,7 +199,7 @@
 			at(TICK, this::tick);
 		}
 
-		// -- questions
+		// -- queries
 
 		private void ask(Asked asked) {
 			if (asked.question() instanceof Question.OfGateway ofGateway) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleetTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleetTests.java
@@ -19,11 +19,12 @@
 
 	private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
-	/** All know one another, and few read for all. */
+	/** By then the gateways know one another, and a few read for all. */
 	private static final long SETTLED = 5 * SECOND;
 
-	// Guards against knowledge that is old and does not look so: each fault hides changes
-	// from those who wait for them, while all other ways work.
+	// Guards against a local copy that is out of date and does not appear so: each
+	// fault hides changes from the gateways that wait for them, while all other
+	// connections work.
 	@ParameterizedTest
 	@CsvSource({ "9, 2000, 20", "68, 2000, 3", "87, 2000, 2", "87, 3000, 2" })
 	void shouldLearnOfLeavingServersInTimeUnderFaults(int count, long boundMillis, int seeds) {
@@ -53,7 +54,7 @@
 		return spared.stream().mapToLong(fleet::worstMillis).max().orElseThrow();
 	}
 
-	// Ten seconds of trouble, while servers leave one at a time and many at once.
+	// Ten seconds of a fault, while servers leave one at a time and many at a time.
 	private static List<Gateway> play(SimulatedFleet fleet, Trouble trouble) {
 		List<Gateway> spared = begin(fleet, trouble);
 		for (int i = 0; i < 12; i++) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedStore.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedStore.java
@@ -12,29 +12,29 @@
 
 import org.rosemaryfront.tables.Question.Asked;
 
-/** A store with one table, each change of which is a row, and faults. */
+/** A store with one table, in which each change is a row. Faults can be injected. */
 final class SimulatedStore {
 
 	private final List<Long> changedAt = new ArrayList<>();
 
 	private final Map<Asked, Waiting> feeds = new HashMap<>();
 
-	/** Questions that got no answer. */
+	/** The queries that received no response. */
 	private final Set<Asked> unanswered = new HashSet<>();
 
 	private final Set<Integer> silentTo = new HashSet<>();
 
 	private final Set<Integer> refused = new HashSet<>();
 
-	/** Changes before this one are not kept as history. */
+	/** The first change that is kept in the history. */
 	private int keptFrom;
 
-	/** Whether feeds hear nothing. */
+	/** Whether pending queries for changes receive none. */
 	private boolean deafFeeds;
 
 	private int calls;
 
-	// -- the test's side
+	// -- called by the tests
 
 	void change(long nowNanos) {
 		this.changedAt.add(nowNanos);
@@ -55,7 +55,7 @@
 		return this.calls;
 	}
 
-	/** Never answers the questions that wait; new ones are answered. */
+	/** Never responds to the pending queries for changes; new ones receive a response. */
 	void silenceFeeds() {
 		this.unanswered.addAll(this.feeds.keySet());
 		this.feeds.clear();
@@ -80,7 +80,7 @@
 		this.deafFeeds = true;
 	}
 
-	/** Drops the history and cuts the feeds. */
+	/** Drops the history and closes the pending queries for changes. */
 	void dropHistory() {
 		this.deafFeeds = false;
 		this.keptFrom = this.changedAt.size();
@@ -98,7 +98,7 @@
 		}
 	}
 
-	// -- the gateways' side
+	// -- called by the gateways
 
 	void ask(int gateway, Asked asked, long nowNanos, Consumer<Reply> reply) {
 		this.calls++;
@@ -125,7 +125,8 @@
 					this.feeds.put(waiting.asked, waiting);
 				}
 			}
-			case Question.OfGateway _ -> throw new IllegalArgumentException("not asked of the store");
+			case Question.OfGateway _ ->
+				throw new IllegalArgumentException("a query to a gateway was sent to the store");
 		}
 	}
 
@@ -148,9 +149,9 @@
 	}
 
 	/**
-	 * The time for an answer is over.
-	 * @param asked the question
-	 * @return what its caller sees, empty when it was answered
+	 * Ends the wait for a response.
+	 * @param asked the query
+	 * @return what the sender of the query receives, empty if it had a response
 	 */
 	Optional<Reply> unanswered(Asked asked) {
 		boolean waits = this.feeds.remove(asked) != null;
@@ -161,30 +162,31 @@
 	}
 
 	/**
-	 * The store's version behind a change.
-	 * @param change the number of the change, -1 before the first one
+	 * Returns the version of the store after a change.
+	 * @param change the number of the change, -1 for the time before the first one
 	 * @return the version
 	 */
 	static long version(int change) {
 		return change + 2;
 	}
 
-	/** What comes of a question. */
+	/** The result of a query. */
 	sealed interface Reply {
 
 		/**
-		 * Rows.
+		 * A response with rows.
 		 *
-		 * @param changes the changes that they show
-		 * @param version the store's version
+		 * @param changes the changes that the rows show
+		 * @param version the version of the store
 		 */
 		record Rows(List<Integer> changes, long version) implements Reply {
 		}
 
 		/**
-		 * No answer.
+		 * A failure.
 		 *
-		 * @param historyLost whether the history is not kept so far back
+		 * @param historyLost whether the history does not reach back to the queried
+		 * version
 		 */
 		record Failed(boolean historyLost) implements Reply {
 		}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/TableFollowerTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/TableFollowerTests.java
@@ -27,7 +27,8 @@
 
 	private Asked feed;
 
-	// The whole table is known at version 10 at time 0, and a question waits for changes.
+	// At time 0 the whole table is read at version 10, and a query for changes is
+	// pending.
 	@BeforeEach
 	void follow() {
 		Asked whole = only(Question.Whole.class, this.follower.tick(Role.FIRST, 0));
@@ -35,7 +36,7 @@
 		this.feed = only(Question.Feed.class, this.follower.tick(Role.FIRST, 0));
 	}
 
-	// -- asking
+	// -- queries
 
 	@Test
 	void shouldWaitForChangesBehindWhatItKnows() {
@@ -51,8 +52,8 @@
 		assertThat(check.question()).isEqualTo(new Question.Check(10));
 	}
 
-	// Guards against counting on one connection: a question that stays unanswered does
-	// not keep another one from going out.
+	// Guards against relying on one connection: an unanswered query must not keep
+	// another one from being sent.
 	@Test
 	void shouldCheckAgainWhenCheckIsNotAnswered() {
 		only(Question.Check.class, this.follower.tick(Role.FIRST, 500 * MILLI));
@@ -75,7 +76,7 @@
 		assertThat(this.freshness.ageNanos(100 * MILLI)).hasValue(100 * MILLI);
 	}
 
-	// Guards against a store that serves others and not this gateway.
+	// Guards against a store that serves other gateways and not this one.
 	@Test
 	void shouldAskGatewayThatKnowsMoreWhenStoreDoesNotAnswer() {
 		this.follower.told(12, false, Optional.empty(), 100 * MILLI);
@@ -86,9 +87,9 @@
 		assertThat(this.follower.tick(Role.RESTING, 600 * MILLI)).isEmpty();
 	}
 
-	// -- answers
+	// -- responses
 
-	// Guards against a question that waits on a connection which carries nothing any
+	// Guards against waiting for a response on a connection that carries nothing any
 	// more.
 	@Test
 	void shouldGiveUpFeedWhenCheckFindsWhatItShouldHaveTold() {
@@ -110,9 +111,8 @@
 		only(Question.Whole.class, this.follower.tick(Role.FIRST, 325 * MILLI));
 	}
 
-	// Guards against a table that is older than what is known: it proves nothing, and
-	// what
-	// follows must not begin from its version.
+	// Guards against a whole table that is older than the local copy: it confirms
+	// nothing, and later queries must not start from its version.
 	@Test
 	void shouldReadAgainWhenWholeTableIsOlder() {
 		this.follower.failed(this.feed, true, 100 * MILLI);
@@ -123,8 +123,8 @@
 		only(Question.Whole.class, this.follower.tick(Role.FIRST, 800 * MILLI));
 	}
 
-	// Guards against noticing the store's return only with the next change: a server that
-	// leaves then would be taken for one whose registration lapsed.
+	// Guards against noticing the end of an outage only with the next change: a server
+	// that leaves then would be taken for one whose registration expired.
 	@Test
 	void shouldNoticeReturnOfStoreBeforeTheNextChange() {
 		long now = 0;
@@ -155,7 +155,8 @@
 		only(Question.Check.class, this.follower.tick(Role.FIRST, 800 * MILLI));
 	}
 
-	// Guards against a reader that the store stopped serving: others would count on it.
+	// Guards against a reader that the store no longer serves: other gateways would
+	// rely on it.
 	@Test
 	void shouldNotCountAsReaderOnceStoreFailsIt() {
 		assertThat(this.follower.isReading(100 * MILLI)).isTrue();
@@ -171,8 +172,8 @@
 		assertThat(this.follower.tick(Role.RESTING, 200 * MILLI)).isEmpty();
 	}
 
-	// Guards against telling others of a proof that is older than the suspension of the
-	// VM.
+	// Guards against reporting a confirmation from before the suspension of the VM to
+	// other gateways.
 	@Test
 	void shouldProveNothingToOthersUntilStoreAnswersAgainBehindPause() {
 		Asked asked = only(Question.Check.class, this.follower.tick(Role.FIRST, 500 * MILLI));
