--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/fleet/Fleet.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/fleet/Fleet.java
@@ -16,77 +16,97 @@
 import org.rosemaryfront.tables.Role;
 
 /**
- * The gateways, as one of them knows them: who lives, who may serve callers, and with
- * whom this one exchanges reports both ways.
+ * Tracks the gateways of the fleet as one of them sees it: which are alive, which may
+ * serve callers, and with which this one exchanges reports in both directions.
  *
  * <p>
- * A report names the last report that its sender had from the gateway it goes to. One
- * that confirms a report of this gateway sent a moment ago proves three things at once:
- * the other one is heard, hears this one, and what it tells is no older than that report.
- * Reports that arrive say less: of a link cut one way, or of what waited in a socket
- * while this process stood still.
+ * A report names the last report that its sender received from the gateway it goes to.
+ * One that confirms a recent report of this gateway shows three things: the reports of
+ * the other gateway arrive here, those of this gateway arrive there, and the content is
+ * no older than the confirmed report. The arrival of a report alone shows less: the link
+ * may be cut in one direction, or the report may have waited in a socket during a process
+ * pause.
  */
 public final class Fleet {
 
-	/** The time between two reports of a gateway in a small fleet, in nanoseconds. */
+	/** The report interval of a gateway in a small fleet, in nanoseconds. */
 	private static final long REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-	/** The longest time between two reports of a gateway, in nanoseconds. */
+	/** The maximum report interval of a gateway, in nanoseconds. */
 	private static final long REPORT_MOST_NANOS = TimeUnit.MILLISECONDS.toNanos(320);
 
 	/**
-	 * Up to so many gateways each reports at the shortest time; beyond, what each has to
-	 * send and to read would grow with the number.
+	 * Up to this number of gateways each reports at the shortest interval. Beyond it the
+	 * interval grows, since the reports that each gateway sends and reads would otherwise
+	 * grow with the fleet.
 	 */
 	private static final int SMALL_FLEET = 40;
 
-	/** The way of a report, with its waits at both ends, in nanoseconds. */
+	/** The transit time of a report, including its waits at both ends, in nanoseconds. */
 	private static final long WAY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-	/** A confirmed report counts while so many others could have come since. */
+	/**
+	 * The number of report intervals for which a confirmed report counts, in addition to
+	 * the transit time.
+	 */
 	private static final int CONFIRMED_REPORTS = 4;
 
-	/** After this time without a report none is confirmed any more, in nanoseconds. */
+	/**
+	 * The time without a report after which none is confirmed any more, in nanoseconds.
+	 */
 	private static final long UNHEARD_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-	/** After this time without a report a gateway does not live, in nanoseconds. */
+	/**
+	 * The time without a report after which a gateway does not count as live, in
+	 * nanoseconds.
+	 */
 	private static final long SILENT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
 	/**
-	 * After this time without a report a gateway counts as gone, in nanoseconds, as long
-	 * as most are still there; longer than cuts usually last.
+	 * The time without a report after which a gateway counts as removed, in nanoseconds,
+	 * as long as most are still present. Longer than network partitions usually last.
 	 */
 	private static final long GONE_NANOS = TimeUnit.SECONDS.toNanos(30);
 
 	/**
-	 * For this time gateways may differ on who is there, in nanoseconds: each sees a
-	 * change at its own moment, up to two reports after another.
+	 * The time for which gateways may see different groups, in nanoseconds. Each notices
+	 * a change at a different time, up to two reports apart.
 	 */
 	private static final long DIFFER_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	/**
-	 * The gateways that are counted on before the table of gateways was read: more than
-	 * the deployments seen have, so that what is divided by it is not used many times
-	 * over.
+	 * The number of gateways that is assumed before the table of gateways was read. It is
+	 * more than the observed deployments have, so that limits divided by it are not
+	 * exceeded many times over.
 	 */
 	private static final int UNKNOWN = 128;
 
 	/**
-	 * The part of all gateways from which on a group counts as agreed though its members
-	 * differ on who is in it: few are then in one group and not in another.
+	 * The fraction of all gateways from which on a group counts as agreed even if its
+	 * members see different groups: few gateways are then in one group and not in
+	 * another.
 	 */
 	private static final double NEARLY_ALL = 0.9;
 
-	/** Gateways that read the store's tables for all; any one of them is enough. */
+	/**
+	 * The number of gateways that read the store's tables for all; any one of them is
+	 * enough.
+	 */
 	private static final int READERS = 3;
 
-	/** After this time without its report a gateway is not counted on to read tables. */
+	/**
+	 * The time without a report after which a gateway does not count as a reader of
+	 * tables, in nanoseconds.
+	 */
 	private static final long READER_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-	/** Own reports whose sending is remembered: more than are confirmed late. */
+	/**
+	 * The number of own reports whose sending times are kept: more than can be confirmed
+	 * late.
+	 */
 	private static final int REMEMBERED = 32;
 
-	/** Earlier starts of a gateway whose reports are known to be late. */
+	/** The number of earlier starts of a gateway whose reports are recognised as late. */
 	private static final int EARLIER_STARTS = 4;
 
 	private final int self;
@@ -97,42 +117,47 @@
 
 	private int number;
 
-	/** Reports up to this one are taken as not confirmed, whatever is heard. */
+	/** Confirmations of own reports up to this number are ignored. */
 	private int forgotten;
 
 	private boolean known;
 
-	/** Since when the others do not see the same group, empty while they do. */
+	/**
+	 * Since when gateways of the group have seen different groups, empty while all see
+	 * the same.
+	 */
 	private OptionalLong differSinceNanos = OptionalLong.empty();
 
 	/**
-	 * A fleet of which only this gateway is known.
-	 * @param self what tells this start of this gateway from all others
+	 * Creates a fleet of which only this gateway is known.
+	 * @param self a number that identifies this start of this gateway
 	 */
 	public Fleet(int self) {
 		this.self = self;
 	}
 
-	// -- changes
-
 	/**
-	 * Notes a gateway that the table of gateways names.
-	 * @param gateway its name
-	 * @param nowNanos the time
+	 * Adds a gateway that is listed in the table of gateways.
+	 * @param gateway the name of the gateway
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void found(String gateway, long nowNanos) {
 		this.members.computeIfAbsent(gateway, (name) -> new Member(rank(name), nowNanos));
 	}
 
-	/** The table of gateways was read: whoever may serve is known from now on. */
+	/**
+	 * Records that the table of gateways was read, so that the gateways that may serve
+	 * are known.
+	 */
 	public void complete() {
 		this.known = true;
 	}
 
 	/**
-	 * Notes a report of this gateway that goes out now.
-	 * @param reportNumber its number, one more than that of the last one
-	 * @param nowNanos the time
+	 * Records that a report of this gateway is sent.
+	 * @param reportNumber the number of the report, one more than that of the previous
+	 * one
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void told(int reportNumber, long nowNanos) {
 		this.number = reportNumber;
@@ -140,10 +165,10 @@
 	}
 
 	/**
-	 * Takes a report of another gateway.
-	 * @param report what it says of the fleet
-	 * @param nowNanos the time
-	 * @return what the report is
+	 * Processes a report of another gateway.
+	 * @param report the part of the report that describes the fleet
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the status of the report
 	 */
 	public Hearing heard(Report report, long nowNanos) {
 		Member member = this.members.computeIfAbsent(report.gateway(), (name) -> new Member(rank(name), nowNanos));
@@ -171,9 +196,9 @@
 	}
 
 	/**
-	 * Takes gateways that were not heard for a while as not living.
-	 * @param nowNanos the time
-	 * @return those that fell silent since the last call
+	 * Marks gateways whose reports have timed out as not live.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the gateways that have timed out since the last call
 	 */
 	public List<String> fallenSilent(long nowNanos) {
 		List<String> silent = this.members.entrySet()
@@ -186,20 +211,19 @@
 	}
 
 	/**
-	 * Takes nothing as confirmed that was sent up to now. After the suspension of its VM
-	 * this process takes old reports for recent: its monotonic clock stood still.
+	 * Ignores the confirmations of all reports sent up to now. After a suspension of its
+	 * VM this process would take old reports for recent, since its monotonic clock was
+	 * stopped.
 	 */
 	public void forgetConfirmations() {
 		this.forgotten = this.number;
 	}
 
-	// -- queries
-
 	/**
-	 * What a report to another gateway confirms.
-	 * @param gateway the other gateway
-	 * @param nowNanos the time
-	 * @return its last report, empty when none came of late
+	 * Returns what a report to another gateway confirms.
+	 * @param gateway the name of the other gateway
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the last report received from it, empty if none was received recently
 	 */
 	public Optional<Confirmation> confirmation(String gateway, long nowNanos) {
 		return Optional.ofNullable(this.members.get(gateway))
@@ -208,34 +232,36 @@
 	}
 
 	/**
-	 * Whether a gateway was heard of late and has not left.
-	 * @param gateway the gateway
-	 * @return true until {@link #fallenSilent} names it
+	 * Returns whether a gateway reported recently and has not left.
+	 * @param gateway the name of the gateway
+	 * @return true until {@link #fallenSilent} returns the gateway
 	 */
 	public boolean isLiving(String gateway) {
 		return Optional.ofNullable(this.members.get(gateway)).filter((member) -> member.lives).isPresent();
 	}
 
 	/**
-	 * The time between two reports of a gateway; longer in a large fleet.
-	 * @return the time in nanoseconds
+	 * Returns the report interval of a gateway, which is longer in a large fleet.
+	 * @return the interval in nanoseconds
 	 */
 	public long reportNanos() {
 		return Math.clamp(REPORT_NANOS * (1 + this.members.size()) / SMALL_FLEET, REPORT_NANOS, REPORT_MOST_NANOS);
 	}
 
 	/**
-	 * The gateways that live, as far as this one knows.
-	 * @return the count, this one included
+	 * Returns the number of live gateways that this one knows.
+	 * @return the number, this gateway included
 	 */
 	public int living() {
 		return 1 + count((member) -> member.lives);
 	}
 
 	/**
-	 * What tells groups of gateways apart.
-	 * @param nowNanos the time
-	 * @return the same number for all that exchange reports with just one another
+	 * Returns an identifier of the group of gateways that exchange reports in both
+	 * directions.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the same number at all gateways that exchange reports with exactly each
+	 * other
 	 */
 	public int group(long nowNanos) {
 		int sum = mixed(this.self);
@@ -246,8 +272,8 @@
 	}
 
 	/**
-	 * How quotas are shared now.
-	 * @param nowNanos the time
+	 * Returns how quotas are currently shared.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the sharing
 	 */
 	public Sharing sharing(long nowNanos) {
@@ -271,9 +297,11 @@
 	}
 
 	/**
-	 * The gateways that may serve callers, heard or not.
-	 * @param nowNanos the time
-	 * @return the count, this one included; a cautious one before it is known
+	 * Returns the number of gateways that may serve callers, whether or not their reports
+	 * arrive.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the number, this gateway included; a cautious assumption before the table
+	 * of gateways was read
 	 */
 	public int serving(long nowNanos) {
 		if (!this.known) {
@@ -293,9 +321,9 @@
 		return same || nowNanos - this.differSinceNanos.getAsLong() < DIFFER_NANOS;
 	}
 
-	// A gateway that is not heard for long is dead, or serves behind a cut. Its part of
-	// the quotas goes to the others only where most of them still are: never on both
-	// sides of a cut.
+	// A gateway without reports for a long time has terminated, or serves on the other
+	// side of a network partition. Its part of the quotas goes to the others only where
+	// most gateways are still present, and so never on both sides of a partition.
 	private void dropGone(long nowNanos) {
 		int silent = count((member) -> isSilent(member, nowNanos));
 		if (silent > 0 && 2 * silent < count(Member::mayServe) + 1) {
@@ -320,17 +348,18 @@
 				- this.sentNanos[member.confirmed % REMEMBERED] < CONFIRMED_REPORTS * reportNanos() + WAY_NANOS;
 	}
 
-	// Spreads the bits, so that sums of different groups differ.
+	// Spreads the bits, so that the sums of different groups differ.
 	private static int mixed(int start) {
 		int bits = start * 0x9E3779B9;
 		return (bits ^ (bits >>> 15)) * 0x85EBCA6B;
 	}
 
 	/**
-	 * What a gateway does for the knowledge of the store's tables: the first few that can
-	 * read them do, in an order that all know, and the rest need not.
+	 * Returns the role of this gateway in reading the store's tables. The first few
+	 * gateways that can read them do so, in an order that is the same at all gateways;
+	 * the others rely on them.
 	 * @param self the name of this gateway
-	 * @param nowNanos the time
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the role
 	 */
 	public Role role(String self, long nowNanos) {
@@ -342,38 +371,40 @@
 		return (before < READERS) ? Role.STAND_BY : Role.RESTING;
 	}
 
-	// Neither names nor zones that sort first make a gateway read for the others.
+	// Orders gateways by hash, so that a name or zone that sorts first does not make a
+	// gateway a reader.
 	private static long rank(String gateway) {
 		return Hashing.wyhashFinal4().hashCharsToLong(gateway);
 	}
 
-	/** What a report is to the gateway that takes it. */
+	/** The status of a received report. */
 	public enum Hearing {
 
-		/** A later one came before it, or a later start of its sender was heard. */
+		/** A later report, or one of a later start of its sender, was received before. */
 		LATE,
 
-		/** The first of its start: its sender waits to be confirmed. */
+		/** The first report of a start. Its sender waits for a confirmation. */
 		FIRST,
 
 		/**
-		 * No older than those before; the same one may come again with a confirmation.
+		 * Not older than the reports received before. The same report may be received
+		 * again with a confirmation.
 		 */
 		NEWS
 
 	}
 
 	/**
-	 * What a report says of the fleet.
+	 * The part of a report that describes the fleet.
 	 *
-	 * @param gateway who sent it
-	 * @param start which start of that gateway
-	 * @param number its number, from 1 up
-	 * @param leaving whether its sender will not be heard again
-	 * @param group the group that its sender is in
-	 * @param reads whether its sender reads the store's tables
-	 * @param confirmed the last report that its sender had from the one that takes it,
-	 * empty when none came of late
+	 * @param gateway the name of the sender
+	 * @param start a number that identifies the start of the sender
+	 * @param number the number of the report, from 1 up
+	 * @param leaving whether the sender will send no more reports
+	 * @param group the group that the sender is in
+	 * @param reads whether the sender reads the store's tables
+	 * @param confirmed the last report that the sender received from the receiver of this
+	 * one, empty if none was received recently
 	 */
 	public record Report(String gateway, int start, int number, boolean leaving, int group, boolean reads,
 			Optional<Confirmation> confirmed) {
@@ -385,51 +416,53 @@
 	}
 
 	/**
-	 * The last report that was had from a gateway.
+	 * The last report that was received from a gateway.
 	 *
-	 * @param start which start of the gateway
+	 * @param start a number that identifies the start of the gateway
 	 * @param number the number of the report
 	 */
 	public record Confirmation(int start, int number) {
 	}
 
 	/**
-	 * How quotas are shared.
+	 * How quotas are shared among the gateways.
 	 *
-	 * @param members the gateways that may serve callers, 0 while they are not known
-	 * @param group those of them that exchange reports both ways, this one included
-	 * @param agreed whether all of the group see the same group, or it is nearly all of
-	 * the gateways
-	 * @param confirmed the last report of this gateway that all of the group had
+	 * @param members the number of gateways that may serve callers, 0 while unknown
+	 * @param group the number of those that exchange reports in both directions, this
+	 * gateway included
+	 * @param agreed whether all members of the group see the same group, or the group is
+	 * nearly all of the gateways
+	 * @param confirmed the number of the last report of this gateway that all of the
+	 * group confirmed
 	 */
 	public record Sharing(int members, int group, boolean agreed, int confirmed) {
 
-		/** Nobody knows yet who may serve callers. */
+		/** The gateways that may serve callers are not known yet. */
 		public static final Sharing UNKNOWN = new Sharing(0, 1, false, 0);
 
-		/** One gateway that serves all callers. */
+		/** A single gateway serves all callers. */
 		public static final Sharing ALONE = new Sharing(1, 1, true, Integer.MAX_VALUE);
 
 		/**
-		 * Whether it is known who may serve callers.
-		 * @return false when no part can be told
+		 * Returns whether the gateways that may serve callers are known.
+		 * @return false if the fraction of the quotas cannot be determined
 		 */
 		public boolean isKnown() {
 			return this.members > 0;
 		}
 
 		/**
-		 * Whether quotas are shared with as many gateways as in another sharing.
+		 * Returns whether quotas are shared with as many gateways as in another sharing.
 		 * @param other the other sharing
-		 * @return true when they differ in confirmed reports only
+		 * @return true if the two differ at most in the confirmed report
 		 */
 		public boolean hasGroupOf(Sharing other) {
 			return this.members == other.members && this.group == other.group && this.agreed == other.agreed;
 		}
 
 		/**
-		 * The part of the quotas that is for the group.
-		 * @return from 0 to 1
+		 * Returns the fraction of the quotas that is available to the group.
+		 * @return the fraction, from 0 to 1
 		 */
 		public double part() {
 			return isKnown() ? (double) this.group / this.members : 0;
@@ -440,7 +473,7 @@
 	/** Another gateway. */
 	private static final class Member {
 
-		/** When it was last heard, or found. */
+		/** When its last report was received, or when it was added. */
 		private long newsNanos;
 
 		private int start;
@@ -449,28 +482,27 @@
 
 		private int group;
 
-		/** Whether it reads the store's tables. */
 		private boolean reads;
 
-		/** Its place in the order of gateways. */
+		/** Its position in the order of gateways. */
 		private final long rank;
 
-		/** The last report of this gateway that it had; 0 for none. */
+		/** The number of the last report of this gateway that it received; 0 for none. */
 		private int confirmed;
 
-		/** Starts before the one heard last. */
+		/** The starts before the current one. */
 		private final Deque<Integer> earlier = new ArrayDeque<>();
 
-		/** Whether a report ever came. */
+		/** Whether a report was ever received. */
 		private boolean heard;
 
-		/** Whether it was heard of late and did not leave. */
+		/** Whether it reported recently and did not leave. */
 		private boolean lives;
 
-		/** Whether it said that it will not be heard again. */
+		/** Whether it reported that it will send no more reports. */
 		private boolean left;
 
-		/** Whether it was silent for so long that it is taken for dead. */
+		/** Whether its reports are missing for so long that it counts as terminated. */
 		private boolean gone;
 
 		private Member(long rank, long newsNanos) {
@@ -486,8 +518,8 @@
 			return this.lives && this.reads && nowNanos - this.newsNanos < READER_NANOS;
 		}
 
-		// Guards against datagrams that wait somewhere: those of an earlier start would
-		// take the place of what the later one told.
+		// Detects datagrams that were delayed. A delayed report of an earlier start
+		// would replace the content of a report of the later start.
 		private boolean isLate(Report report) {
 			boolean same = this.heard && this.start == report.start();
 			return this.earlier.contains(report.start()) || (same && report.number() - this.number < 0);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/fleet/package-info.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/fleet/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The gateways that serve together: who lives, who hears whom, and who does what for all.
+ * The gateways that serve together: which are live, which receive reports from which
+ * others, and which read tables for all.
  */
 package org.rosemaryfront.fleet;
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/fleet/FleetTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/fleet/FleetTests.java
@@ -33,16 +33,17 @@
 		this.fleet.told(1, 0);
 	}
 
-	// A process starts while the store is away. Nobody told it of other gateways yet; it
-	// took itself for the only one and gave out every quota as a whole.
+	// Guards against a process that starts during an outage of the store and knows no
+	// other gateway: it took itself for the only one and gave out every quota in full.
 	@Test
 	void shouldHaveNoPartBeforeTableOfGatewaysWasRead() {
 		assertThat(new Fleet(SELF).sharing(0).isKnown()).isFalse();
 		assertThat(new Fleet(SELF).sharing(0).part()).isZero();
 	}
 
-	// Connections to servers and retries are divided by the gateways there are. Taken for
-	// one before any was known, each would make as many as all together may.
+	// Guards against too many connections to servers and retries, whose limits are
+	// divided by the number of gateways. If each gateway assumed to be the only one,
+	// each would make as many as all together may.
 	@Test
 	void shouldCountOnManyBeforeTableOfGatewaysWasRead() {
 		assertThat(this.fleet.serving(0)).isGreaterThan(100);
@@ -64,8 +65,8 @@
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(3);
 	}
 
-	// Reports arrive from a gateway that hears nobody: it lets its own part pass, so that
-	// what it tells must not count as shared.
+	// Guards against sharing with a gateway whose reports arrive but which receives
+	// none: it admits its own part, so that its reported use must not count as shared.
 	@Test
 	void shouldNotShareWithGatewayThatDoesNotHearThisOne() {
 		this.fleet.complete();
@@ -74,8 +75,8 @@
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(2);
 	}
 
-	// The process stood still. What waited in its socket arrives all at once at its wake,
-	// and is as old as the pause.
+	// Guards against reports that waited in the socket during a process pause: they all
+	// arrive when the process resumes, and are as old as the pause.
 	@Test
 	void shouldNotShareByReportsThatWaitedInASocket() {
 		this.fleet.complete();
@@ -86,8 +87,8 @@
 		assertThat(this.fleet.sharing(4 * SECOND).group()).isEqualTo(2);
 	}
 
-	// While a VM is suspended its monotonic clock stands still, so that reports from
-	// before look recent at its wake.
+	// Guards against reports from before a suspension of the VM: the monotonic clock is
+	// stopped during it, so that they appear recent afterwards.
 	@Test
 	void shouldNotShareByReportsFromBeforeSuspension() {
 		this.fleet.complete();
@@ -120,9 +121,9 @@
 		assertThat(this.fleet.sharing(SECOND / 4).confirmed()).isEqualTo(1);
 	}
 
-	// Two gateways do not hear each other, and both hear this one: their groups overlap.
-	// They see a change of the group at different moments, so that differing for a moment
-	// says nothing.
+	// Two gateways receive no reports from each other, and both exchange reports with
+	// this one, so that their groups overlap. Gateways notice a change of the group at
+	// different times, so that a short difference is ignored.
 	@ParameterizedTest
 	@CsvSource({ "0.5, true", "1.2, false" })
 	void shouldSeeWhenGroupsDifferForLong(double seconds, boolean agreed) {
@@ -142,7 +143,7 @@
 		assertThat(hear(report(22, 1), 2 * SECOND)).isEqualTo(Hearing.FIRST);
 	}
 
-	// A datagram waits on its way while later ones pass it.
+	// Guards against a datagram that is delayed and overtaken by later ones.
 	@Test
 	void shouldDropReportThatALaterOneOvertook() {
 		hear(report(2, 5), 0);
@@ -150,8 +151,8 @@
 		assertThat(this.fleet.confirmation("gateway-2", 0)).contains(new Confirmation(2, 5));
 	}
 
-	// The answer to the first report of a start is the last report once more, with the
-	// confirmation that its sender waits for.
+	// The response to the first report of a start repeats the last report, with the
+	// confirmation that the sender of the first report waits for.
 	@Test
 	void shouldTakeConfirmationFromRepeatedReport() {
 		this.fleet.complete();
@@ -161,9 +162,8 @@
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(2);
 	}
 
-	// A gateway starts again; what its earlier start sent arrives behind that and took
-	// the
-	// place of what the later one told.
+	// Guards against a report of an earlier start that arrives after a restart of the
+	// gateway: it replaced the content of a report of the later start.
 	@Test
 	void shouldDropReportOfAnEarlierStart() {
 		hear(report(2, 900), 0);
@@ -191,8 +191,9 @@
 		assertThat(this.fleet.serving(0)).isEqualTo(2);
 	}
 
-	// One of three gateways is dead for good: its part is lost until the others take it
-	// over. On the smaller side of a cut they must not: the larger side does.
+	// When one of three gateways has terminated, its part is lost until the others take
+	// it over. On the smaller side of a network partition they must not, since the
+	// larger side does.
 	@ParameterizedTest
 	@CsvSource({ "true, 2", "false, 3" })
 	void shouldTakeOverPartOfSilentGatewayOnlyAmongMost(boolean second, int serving) {
@@ -213,7 +214,8 @@
 		assertThat(this.fleet.serving(32 * SECOND)).isEqualTo(3);
 	}
 
-	// Three of ten gateways read the store's tables, the same ones in the eyes of all.
+	// Three of ten gateways read the store's tables, and all gateways choose the same
+	// three.
 	@Test
 	void shouldCountOnTheSameFewToReadTables() {
 		List<String> names = IntStream.range(0, 10).mapToObj((i) -> "gateway-" + i).toList();
