--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/Account.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/Account.java
@@ -11,78 +11,91 @@
 import org.rosemaryfront.quota.QuotaTable.Use;
 
 /**
- * What one organisation uses and asks for, here and at other processes. It decides
- * nothing: {@link QuotaTable} does.
+ * Records what one organisation uses and requests, at this process and at the others. All
+ * decisions are made by {@link QuotaTable}.
  */
 final class Account {
 
-	/** Uses closer together than this are counted as one, in nanoseconds. */
+	/**
+	 * The length of a slot, in nanoseconds. Uses within one slot are counted together.
+	 */
 	private static final long SLOT_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
 	/**
-	 * The part of a window's quota that may be used at once; the rest comes evenly. It
-	 * bounds what a kill of all processes makes them forget.
+	 * The fraction of a window's quota that may be used in one burst; the rest becomes
+	 * available evenly. It bounds the use that is forgotten when all processes are
+	 * killed.
 	 */
 	private static final double AT_ONCE = 0.2;
 
-	/** A call is small that counts at most this part of what calls usually do. */
+	/**
+	 * A call is small if its units are at most this fraction of the recent average of a
+	 * call.
+	 */
 	private static final double SMALL = 0.1;
 
-	/** The weight of the newest call in what calls usually count. */
+	/** The weight of the newest call in the average units of a call. */
 	private static final double USUAL_NEWEST = 0.02;
 
-	/** Over this time counts what an organisation asks for, in nanoseconds. */
+	/** The period over which requested units are summed up, in nanoseconds. */
 	private static final long ASKED_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-	/** Fewer calls than this in a second say nothing of a rise. */
+	/**
+	 * The number of calls in a second below which no rise in requests can be determined.
+	 */
 	private static final int FEW_CALLS = 2;
 
 	private final long windowNanos;
 
-	/** What all used within the window, as far as it is known. */
+	/** The use of all processes within the window, as far as it is known here. */
 	private final Deque<Slot> slots = new ArrayDeque<>();
 
-	/** What each other process told last. */
+	/** The last use reported by each other process. */
 	private final Map<String, Told> others = new HashMap<>();
 
-	/** What was asked for here within the last second. */
+	/** The units requested here within the last second. */
 	private final Deque<Slot> asked = new ArrayDeque<>();
 
-	/** What was used here and told, as long as not all have confirmed it. */
+	/** The use here that was reported and is not yet confirmed by all other processes. */
 	private final Deque<Reported> reported = new ArrayDeque<>();
 
-	/** Units that callers were told to come back for, with the times told. */
+	/**
+	 * The units of refused calls, with the times at which their callers were told to
+	 * retry.
+	 */
 	private final Deque<Slot> promised = new ArrayDeque<>();
 
 	private double sum;
 
-	/** What this process used since it started. */
+	/** The units used by this process since it started. */
 	private double own;
 
-	/** What of the sum this process used. */
+	/** The units of the sum that this process used. */
 	private double ownInWindow;
 
 	private double unconfirmed;
 
-	/** What was used here since the last report. */
+	/** The units used here since the last report. */
 	private double sinceReport;
 
-	/** What was asked for here when the last report went out. */
+	/** The units requested here within the last second when the last report was sent. */
 	private double askedThen;
 
-	/** What calls count of late, smoothed; 0 before the first. */
+	/** The moving average of the units of a call; 0 before the first call. */
 	private double usual;
 
-	/** When the last small call came. */
 	private OptionalLong smallNanos = OptionalLong.empty();
 
-	/** What may be used at once; below 0 after news of the use of other processes. */
+	/** The units available in one burst; below 0 after other processes reported use. */
 	private double level;
 
-	/** What may be used at once at most. */
+	/** The maximum of the units available in one burst. */
 	private double atOnce;
 
-	/** What the start added to that; more once more gateways share the quota. */
+	/**
+	 * The units that were added to the level for the start of the process; raised when
+	 * more gateways share the quota.
+	 */
 	private double givenAtStart;
 
 	private double unitsPerNano;
@@ -90,7 +103,7 @@
 	private long filledNanos;
 
 	/**
-	 * An account of which nothing is used.
+	 * Creates an account without any use.
 	 * @param windowNanos the window of quotas, in nanoseconds
 	 * @param startedNanos when the process started
 	 */
@@ -99,13 +112,11 @@
 		this.filledNanos = startedNanos;
 	}
 
-	// -- asking
-
 	/**
-	 * Notes that a call asks for units.
+	 * Records that a call requests units.
 	 * @param units the units
-	 * @param nowNanos the time
-	 * @return whether it is small among the calls of late
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return whether the call is small compared with recent calls
 	 */
 	boolean ask(double units, long nowNanos) {
 		slot(this.asked, nowNanos).units += units;
@@ -135,15 +146,16 @@
 	}
 
 	/**
-	 * The part of what is left that is for this process, by what all ask for, as long as
-	 * the others do not know what it takes of it. What they ask for is as old as their
-	 * reports. Of the window's rest it is taken to have risen as it did here, since a
-	 * flood comes to all at once.
-	 * @param units the units asked for
+	 * Returns the share of the remaining units that this process may use, in proportion
+	 * to what all processes request, while the others do not know its use. The requests
+	 * at the others are as old as their reports. For the units that remain of the window
+	 * they are assumed to have risen as they did here, since an overload reaches all
+	 * processes at the same time.
+	 * @param units the units requested
 	 * @param limit the units that the window allows
-	 * @param slack the units that may be used beside the window's
-	 * @param nowNanos the time
-	 * @return the units, those not confirmed included
+	 * @param slack the units that may be used in addition to those of the window
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the share in units, unconfirmed use included
 	 */
 	double share(double units, double limit, double slack, long nowNanos) {
 		double here = asked(nowNanos);
@@ -154,8 +166,6 @@
 		return Math.min(ofWindow, atOnce);
 	}
 
-	// -- using
-
 	void take(double units, long nowNanos) {
 		add(units, nowNanos);
 		this.slots.getLast().own += units;
@@ -175,8 +185,9 @@
 		this.sum += units;
 	}
 
-	// The oldest first: what was not used after all was counted then or later. Off the
-	// newest, use that is real would leave the window too early.
+	// Begins with the oldest slots, since the returned units were counted in them or
+	// later. Removed from the newest slots, units that were really used would leave the
+	// window too early.
 	private void remove(double units) {
 		this.level += units;
 		double left = units;
@@ -190,8 +201,8 @@
 	}
 
 	/**
-	 * Forgets what has left the window.
-	 * @param nowNanos the time
+	 * Removes the use that has left the window.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void expire(long nowNanos) {
 		while (!this.slots.isEmpty() && nowNanos - this.slots.getFirst().atNanos > this.windowNanos) {
@@ -201,14 +212,13 @@
 		}
 	}
 
-	// -- what comes evenly
-
 	/**
-	 * Lets what may be used at once grow up to now.
+	 * Raises the units available in one burst up to the current time.
 	 * @param window the units that a whole window allows
-	 * @param atStart the part of a window that may be used at the start, 0 later
-	 * @param slack the units that may be used at once beside a part of the window
-	 * @param nowNanos the time
+	 * @param atStart the fraction of a window that may be used at the start, 0 later
+	 * @param slack the units that may be used in one burst in addition to the fraction of
+	 * the window
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void fill(double window, double atStart, double slack, long nowNanos) {
 		this.atOnce = window * AT_ONCE + slack;
@@ -221,10 +231,10 @@
 	}
 
 	/**
-	 * The time until units may be used at once. A call that counts more than may ever be
-	 * used at once goes when as much as possible is there.
+	 * Returns the time until units are available in one burst. A call with more units
+	 * than can ever be available in one burst passes once the maximum is available.
 	 * @param units the units
-	 * @return the time in milliseconds, 0 for now
+	 * @return the time in milliseconds, 0 if they are available now
 	 */
 	long evenlyMillis(double units) {
 		double missing = Math.min(units, this.atOnce) - this.level;
@@ -232,10 +242,10 @@
 	}
 
 	/**
-	 * The time until no more than the given units were used within a window.
+	 * Returns the time until at most the given units were used within a window.
 	 * @param allowed the units
-	 * @param nowNanos the time
-	 * @return the time in milliseconds, 0 for now
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the time in milliseconds, 0 if that is so now
 	 */
 	long windowMillis(double allowed, long nowNanos) {
 		if (this.sum <= allowed) {
@@ -256,8 +266,6 @@
 		return (allowed < 0) ? TimeUnit.NANOSECONDS.toMillis(this.windowNanos) : 0;
 	}
 
-	// -- what callers were told
-
 	void promise(double units, long atNanos) {
 		Slot slot = new Slot(atNanos);
 		slot.units = units;
@@ -269,12 +277,10 @@
 		return units(this.promised);
 	}
 
-	// -- what processes tell one another
-
 	/**
-	 * Notes that a report goes out with what was used up to now.
-	 * @param report its number
-	 * @param nowNanos the time
+	 * Records that a report with the use up to now is sent.
+	 * @param report the number of the report
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void tell(int report, long nowNanos) {
 		this.askedThen = asked(nowNanos);
@@ -285,8 +291,8 @@
 	}
 
 	/**
-	 * Notes that all others know what was told.
-	 * @param report the number of the last report that all had
+	 * Records that all other processes received the use up to a report.
+	 * @param report the number of the last report that all of them received
 	 */
 	void confirm(int report) {
 		this.reported.removeIf((use) -> use.report <= report);
@@ -294,11 +300,12 @@
 	}
 
 	/**
-	 * Takes what another process tells.
-	 * @param process the process
-	 * @param use what it tells
-	 * @param known whether the process was heard before, of this organisation or others
-	 * @param nowNanos the time
+	 * Processes the use reported by another process.
+	 * @param process the name of the process
+	 * @param use the reported use
+	 * @param known whether a report of the process was received before, for this
+	 * organisation or another one
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void hear(String process, Use use, boolean known, long nowNanos) {
 		Told before = this.others.put(process, new Told(use, nowNanos));
@@ -312,8 +319,8 @@
 		}
 	}
 
-	// What was used before the first telling was used at an unknown time, unless the
-	// process is fresh.
+	// The use before the first report happened at an unknown time, unless the process
+	// has just started.
 	private static double unheard(Use use) {
 		return use.fresh() ? 0 : use.units();
 	}
@@ -322,10 +329,8 @@
 		return new Use(this.own, asked(nowNanos), fresh);
 	}
 
-	// -- queries
-
 	/**
-	 * What all used within the window, as far as it is known.
+	 * Returns the use of all processes within the window, as far as it is known here.
 	 * @return the units
 	 */
 	double sum() {
@@ -337,7 +342,7 @@
 	}
 
 	/**
-	 * What was used here of which not all others have confirmed that they know.
+	 * Returns the use here that not all other processes have confirmed.
 	 * @return the units, as of the last confirmation
 	 */
 	double unconfirmed() {
@@ -355,22 +360,22 @@
 		return slots.stream().mapToDouble((slot) -> slot.units).sum();
 	}
 
-	/** What another process told last. */
+	/** The last use reported by another process. */
 	private record Told(Use use, long atNanos) {
 	}
 
-	/** Use that a report told of. */
+	/** Use that was included in a report. */
 	private record Reported(int report, double units) {
 	}
 
-	/** Units of one moment. */
+	/** Units used or requested at one time. */
 	private static final class Slot {
 
 		private final long atNanos;
 
 		private double units;
 
-		/** What of it this process used. */
+		/** The units that this process used. */
 		private double own;
 
 		private Slot(long atNanos) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/QuotaTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/QuotaTable.java
@@ -11,50 +11,51 @@
 import org.rosemaryfront.routes.Organisation;
 
 /**
- * The quotas of the organisations over all processes together.
+ * Applies the quotas of the organisations across all processes together.
  *
  * <p>
- * In any window an organisation may use its rate times the window, and its burst. This
- * process counts its own use at once and that of other processes when they tell of it, so
- * that callers may come to any process, however unevenly. A window admits more of what is
- * due than a bucket of the burst's size would: such a bucket loses what was not used for
- * a second.
+ * In any window an organisation may use its rate times the window, plus its burst. This
+ * process counts its own use immediately and that of other processes when they report it,
+ * so that callers may connect to any process, however unevenly. A window admits more of
+ * the permitted use than a token bucket of the burst's size would: such a bucket loses
+ * what is not used within a second.
  *
  * <p>
- * What others use reaches this process late, or not at all. Two bounds hold the sum
- * whatever is heard. Of what is left, each takes only its share before the others have
- * confirmed that they know. And a group of processes that exchange reports with just one
- * another lets only its part of the quota pass. Both cost nothing while an organisation
- * keeps to half of its quota.
+ * The use at other processes becomes known here late or not at all. Two rules bound the
+ * sum regardless of which reports arrive. First, of the remaining units each process uses
+ * only its share until the others have confirmed that they received its use. Second, a
+ * group of processes that exchange reports with only each other uses only its part of the
+ * quota. Both refuse nothing while an organisation stays within half of its quota.
  */
 public final class QuotaTable {
 
 	/**
-	 * The part of a window's quota that only small calls may use, as long as there are
-	 * any: all of them together hardly need it, and a flood of large ones leaves nothing.
+	 * The fraction of a window's quota that only small calls may use, as long as there
+	 * are any. All of them together hardly need it, and an overload of large calls leaves
+	 * nothing else.
 	 */
 	private static final double KEPT_FOR_SMALL = 0.03;
 
 	/**
-	 * The parts of a quota that a process lets through by its start and by the end of its
-	 * first window, evenly between them: it does not know what was used before. Callers
-	 * whose calls a kill of all processes cut off come back at once, so that it begins
-	 * with some; what was used right before the kill comes on top, so that it ends with
-	 * less than all.
+	 * The fractions of a quota that a process admits by its start and by the end of its
+	 * first window, rising evenly in between, since it does not know the use before its
+	 * start. Callers whose calls were cut off when all processes were killed retry
+	 * immediately, so that it begins above 0. The use right before the kill comes on top,
+	 * so that it ends below 1.
 	 */
 	private static final double AT_START = 0.06;
 
 	private static final double FRESH = 0.9;
 
 	/**
-	 * The part of the slack beside a quota that is given out; the rest is for what the
-	 * processes know late.
+	 * The fraction of the slack beyond a quota that is given out. The rest covers the use
+	 * that the processes learn of late.
 	 */
 	private static final double SLACK_PART = 0.5;
 
 	/**
-	 * When to come back for units that others may be using, in milliseconds: by then they
-	 * have told, two reports later.
+	 * The time after which to retry for units that other processes may be using, in
+	 * milliseconds: they have reported their use by then, two reports later.
 	 */
 	private static final long CONFIRM_MILLIS = 400;
 
@@ -64,23 +65,26 @@
 
 	private final double slackUnits;
 
-	/** Draws who takes the rest of what is left, from 0 to 1. */
+	/**
+	 * Random numbers from 0 to 1 that decide which process takes the rest of the
+	 * remaining units.
+	 */
 	private final DoubleSupplier draw;
 
 	private Sharing sharing = Sharing.ALONE;
 
 	private final Map<String, Account> accounts = new HashMap<>();
 
-	/** The processes that told anything. */
+	/** The processes from which a report was received. */
 	private final Set<String> heard = new HashSet<>();
 
 	/**
-	 * Quotas of which nothing is used.
+	 * Creates quotas of which nothing is used.
 	 * @param windowMillis the window, in milliseconds
-	 * @param nowNanos the time
-	 * @param slackUnits what an organisation may use beside its quota in a window, in
-	 * units, since processes know late what the others give out
-	 * @param draw random numbers from 0 to 1
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @param slackUnits the units that an organisation may use in a window beyond its
+	 * quota, since processes learn late what the others give out
+	 * @param draw a source of random numbers from 0 to 1
 	 */
 	public QuotaTable(long windowMillis, long nowNanos, double slackUnits, DoubleSupplier draw) {
 		this.slackUnits = slackUnits;
@@ -89,14 +93,12 @@
 		this.windowNanos = TimeUnit.MILLISECONDS.toNanos(windowMillis);
 	}
 
-	// -- changes
-
 	/**
 	 * Takes units for a call if the quota allows it.
 	 * @param organisation the organisation
-	 * @param units the units that the call counts
-	 * @param nowNanos the time
-	 * @return whether they were taken, with what decided it
+	 * @param units the units of the call
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return whether the units were taken, with the values that decided it
 	 */
 	public Taking take(Organisation organisation, double units, long nowNanos) {
 		Account account = account(organisation.name());
@@ -124,11 +126,11 @@
 		return (wait > 0) ? promise(account, open, wish, wait, nowNanos) : 0;
 	}
 
-	// Guards against what others take at the same time. Of what is left, each process
-	// takes its share until all have confirmed that they know of it. A call that is
-	// larger than the share is let through as often as the share is a part of it: however
-	// many processes there are, together they take what is left, and not that many times
-	// over.
+	// Limits what processes take at the same time. Of the remaining units each process
+	// takes its share until all others have confirmed its use. A call larger than the
+	// share passes with a probability of the share divided by its units. However many
+	// processes there are, together they then take what remains, and not a multiple of
+	// it.
 	private long shareMillis(Account account, Wish wish, long nowNanos) {
 		double units = wish.units();
 		if (this.sharing.group() == 1 || units <= 0) {
@@ -140,16 +142,18 @@
 		return taken ? 0 : CONFIRM_MILLIS;
 	}
 
-	// Guards against groups that overlap, as when one process hears two that do not hear
-	// each other: each of these would take its group's part, the common member's twice.
-	// Parts of single processes never overlap.
+	// Limits groups that overlap, as when one process exchanges reports with two that
+	// receive none from each other. Each of these two would use the part of its group,
+	// and so the common member's part twice. The parts of single processes never
+	// overlap.
 	private long ownPartMillis(Account account, Wish wish) {
 		boolean withinPart = (account.ownInWindow() + wish.units()) * this.sharing.group() <= wish.limit();
 		return (this.sharing.agreed() || withinPart) ? 0 : CONFIRM_MILLIS;
 	}
 
-	// When a refused call finds units that nobody was told of before. Callers come back
-	// once: told the same time, most would find the units taken.
+	// Returns the time until a refused call finds units for which no other caller was
+	// told to retry. Callers retry once: if all were told the same time, most of them
+	// would find the units taken.
 	private long promise(Account account, double open, Wish wish, long leastMillis, long nowNanos) {
 		double told = account.promised(nowNanos) * this.sharing.group();
 		long wait = Math.max(leastMillis, windowMillis(account, open - told, wish, nowNanos));
@@ -158,17 +162,17 @@
 	}
 
 	/**
-	 * Takes how quotas are shared from now on.
-	 * @param now the sharing; {@link Sharing#ALONE} before the first
+	 * Sets how quotas are shared from now on.
+	 * @param now the sharing; {@link Sharing#ALONE} before the first call
 	 */
 	public void sharing(Sharing now) {
 		this.sharing = now;
 	}
 
 	/**
-	 * Notes that a report goes out with what was used up to now.
-	 * @param report its number
-	 * @param nowNanos the time
+	 * Records that a report with the use up to now is sent.
+	 * @param report the number of the report
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void told(int report, long nowNanos) {
 		this.accounts.values().forEach((account) -> account.tell(report, nowNanos));
@@ -178,8 +182,8 @@
 	 * Gives back the units of a call that did not run.
 	 * @param organisation the name of the organisation
 	 * @param units the units
-	 * @param takenNanos when they were taken
-	 * @param nowNanos the time
+	 * @param takenNanos when the units were taken, on the monotonic clock
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void giveBack(String organisation, double units, long takenNanos, long nowNanos) {
 		if (nowNanos - takenNanos < this.windowNanos) {
@@ -188,22 +192,22 @@
 	}
 
 	/**
-	 * Takes what another process tells.
-	 * @param process the process
-	 * @param uses what it tells, by organisation; those that are absent never asked there
-	 * @param nowNanos the time
+	 * Processes the use reported by another process.
+	 * @param process the name of the process
+	 * @param uses the reported use by organisation; absent organisations never requested
+	 * units there
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void usedByOther(String process, Map<String, Use> uses, long nowNanos) {
 		boolean known = !this.heard.add(process);
 		uses.forEach((organisation, use) -> account(organisation).hear(process, use, known, nowNanos));
 	}
 
-	// -- queries
-
 	/**
-	 * What this process tells of its use.
-	 * @param nowNanos the time
-	 * @return the use by organisation, without those that never asked for any here
+	 * Returns the use to report to the other processes.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the use by organisation, without organisations that never requested units
+	 * here
 	 */
 	public Map<String, Use> used(long nowNanos) {
 		boolean fresh = isFresh(nowNanos);
@@ -218,9 +222,9 @@
 	}
 
 	/**
-	 * Whether this process has counted for less than a window.
-	 * @param nowNanos the time
-	 * @return true until then
+	 * Returns whether this process started less than a window ago.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return true during the first window
 	 */
 	public boolean isFresh(long nowNanos) {
 		return nowNanos - this.startedNanos < this.windowNanos;
@@ -230,17 +234,17 @@
 		return this.accounts.computeIfAbsent(organisation, (_) -> new Account(this.windowNanos, this.startedNanos));
 	}
 
-	// A process that has just started does not know what was used before: many
-	// processes killed at once would let every organisation use its whole window
-	// again. It takes most of the quota as used up to its start.
+	// A process that has just started does not know the earlier use: when many
+	// processes are killed at the same time, every organisation could use its whole
+	// window again. So most of the quota counts as used at the start.
 	private double limit(double window, long nowNanos) {
 		double known = (nowNanos - this.startedNanos) / (double) this.windowNanos;
 		double part = (known < 1) ? AT_START + (FRESH - AT_START) * known : 1;
 		return part * window;
 	}
 
-	// The time until no more than what is open was used. In its first window a process
-	// counts what it may give out as it grows.
+	// Returns the time until the use is no more than the open units. In its first
+	// window a process takes into account that the limit grows.
 	private long windowMillis(Account account, double open, Wish wish, long nowNanos) {
 		long wait = account.windowMillis(open, nowNanos);
 		if (wait == 0 || !isFresh(nowNanos)) {
@@ -251,7 +255,8 @@
 		return Math.clamp(TimeUnit.NANOSECONDS.toMillis((long) (missing / growthPerNano)), 1, wait);
 	}
 
-	// The window's limit stays: what is used at once is used of it.
+	// The limit of the window is not raised: what is used in one burst counts towards
+	// it.
 	private double slack(Organisation organisation) {
 		boolean counted = organisation.counts() == Organisation.Counts.TOKENS;
 		return counted ? this.sharing.part() * this.slackUnits * SLACK_PART : 0;
@@ -262,35 +267,38 @@
 	}
 
 	/**
-	 * A wish for units, with what decides it.
+	 * A request for units, with the values that decide it.
 	 *
-	 * @param units the units that the call counts
-	 * @param small whether it is small among the calls of late
+	 * @param units the units of the call
+	 * @param small whether the call is small compared with recent calls
 	 * @param window the units that a whole window allows
 	 * @param limit the units that may be used by now
-	 * @param slack the units beside the window's that may be used at once
+	 * @param slack the units that may be used in one burst in addition to those of the
+	 * window
 	 */
 	private record Wish(double units, boolean small, double window, double limit, double slack) {
 	}
 
 	/**
-	 * What came of a wish for units.
+	 * The result of a request for units.
 	 *
-	 * @param waitMillis the time until the units are there, in milliseconds; 0 when they
-	 * were taken
+	 * @param waitMillis the time until the units are available, in milliseconds; 0 if
+	 * they were taken
 	 * @param used the units used within the window, by all processes
 	 * @param limit the units that the window allows
-	 * @param unconfirmed the units used here before of which not all others know
-	 * @param sharing with whom the quota was shared
+	 * @param unconfirmed the units used here before that not all other processes have
+	 * confirmed
+	 * @param sharing how the quota was shared
 	 */
 	public record Taking(long waitMillis, double used, double limit, double unconfirmed, Sharing sharing) {
 	}
 
 	/**
-	 * What a process tells of an organisation.
+	 * The use of an organisation that a process reports.
 	 *
 	 * @param units the units used since the process started
-	 * @param asked the units asked for there within the last second, refused ones too
+	 * @param asked the units requested there within the last second, including refused
+	 * ones
 	 * @param fresh whether the process started less than a window ago
 	 */
 	public record Use(double units, double asked, boolean fresh) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleet.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleet.java
@@ -18,20 +18,23 @@
 import org.rosemaryfront.routes.Organisation;
 
 /**
- * Gateways that share quotas by telling one another, on virtual time: reports that are
- * late, lost or cut one way, processes that stand still, die and start. One organisation
- * asks for far more than its quota, through all of them.
+ * Gateways that share quotas through reports, in virtual time. Reports may be late, lost
+ * or cut in one direction, and processes may be paused, killed and started. One
+ * organisation requests far more than its quota, through all gateways.
  */
 final class QuotaFleet {
 
-	/** A large organisation with long prompts, and nothing beside its quota. */
+	/** A large organisation with long prompts and no slack beyond its quota. */
 	private static final Load LARGE = new Load(1_690_000, 9_000, 0);
 
 	private static final long WINDOW_MILLIS = 8_000;
 
 	private static final int TICK_MILLIS = 50;
 
-	/** Of the network between gateways; the rest waits for its turn on a thread. */
+	/**
+	 * The network delay between gateways. The rest of the transit time is the wait for
+	 * the next tick of a thread.
+	 */
 	private static final int DELAY_MILLIS = 15;
 
 	private final Load load;
@@ -42,7 +45,7 @@
 
 	private final List<Gateway> gateways = new ArrayList<>();
 
-	/** Reports in the order in which they arrive. */
+	/** The reports in transit, in the order of their arrival. */
 	private final Deque<Telling> underWay = new ArrayDeque<>();
 
 	private final List<Passed> passed = new ArrayList<>();
@@ -62,9 +65,9 @@
 	}
 
 	/**
-	 * Gateways that have known one another for longer than a window.
-	 * @param count how many
-	 * @param seed of all that is random
+	 * Creates gateways that have exchanged reports for longer than a window.
+	 * @param count the number of gateways
+	 * @param seed the seed of all random numbers
 	 * @return the gateways
 	 */
 	static QuotaFleet of(int count, long seed) {
@@ -72,10 +75,10 @@
 	}
 
 	/**
-	 * Gateways that have known one another for longer than a window.
-	 * @param count how many
-	 * @param seed of all that is random
-	 * @param load what the organisation may use and asks for
+	 * Creates gateways that have exchanged reports for longer than a window.
+	 * @param count the number of gateways
+	 * @param seed the seed of all random numbers
+	 * @param load the quota of the organisation and the size of its calls
 	 * @return the gateways
 	 */
 	static QuotaFleet of(int count, long seed, Load load) {
@@ -87,12 +90,12 @@
 		return fleet;
 	}
 
-	// -- what happens
+	// -- load and faults
 
 	/**
-	 * Lets time pass while the organisation asks.
-	 * @param millis how long
-	 * @param quotasPerSecond what it asks for, in quotas a second
+	 * Advances the time while the organisation sends calls.
+	 * @param millis the time in milliseconds
+	 * @param quotasPerSecond the requested units per second, in quotas
 	 */
 	void run(long millis, double quotasPerSecond) {
 		double callsPerMilli = quotasPerSecond * this.load.quota / this.load.callUnits / 1_000;
@@ -108,17 +111,17 @@
 	}
 
 	/**
-	 * Cuts the way from a gateway to another, or heals it.
-	 * @param from who is not heard any more
-	 * @param to who does not hear
-	 * @param cut whether it is cut
+	 * Cuts or restores the link from one gateway to another.
+	 * @param from the gateway whose reports are lost
+	 * @param to the gateway that does not receive them
+	 * @param cut whether the link is cut
 	 */
 	void cut(int from, int to, boolean cut) {
 		this.gateways.get(to).deafTo.put(from, cut);
 	}
 
 	/**
-	 * Cuts a group off from all others, both ways, or heals it.
+	 * Cuts a group off from all others in both directions, or reconnects it.
 	 * @param group the gateways
 	 * @param cut whether they are cut off
 	 */
@@ -134,25 +137,26 @@
 	}
 
 	/**
-	 * A gateway stands still; its callers go on to call, and are served at its wake.
-	 * @param gateway which
-	 * @param frozen whether it stands still
+	 * Pauses or resumes a gateway. Its callers continue to call, and are served when it
+	 * resumes.
+	 * @param gateway the gateway
+	 * @param frozen whether it is paused
 	 */
 	void freeze(int gateway, boolean frozen) {
 		this.gateways.get(gateway).freeze(frozen);
 	}
 
 	/**
-	 * A gateway is killed and another process starts in its place.
-	 * @param gateway which
+	 * Kills a gateway and starts another process in its place.
+	 * @param gateway the gateway
 	 */
 	void restart(int gateway) {
 		this.gateways.set(gateway, new Gateway(gateway, this.nowMillis));
 	}
 
 	/**
-	 * All gateways are killed; other processes start in their places.
-	 * @param downMillis how long nobody serves
+	 * Kills all gateways and starts other processes in their places.
+	 * @param downMillis the time without any process, in milliseconds
 	 */
 	void killAll(long downMillis) {
 		this.gateways.forEach((gateway) -> gateway.freeze(true));
@@ -162,15 +166,15 @@
 		}
 	}
 
-	// -- what is seen
+	// -- results
 
 	int gateways() {
 		return this.count;
 	}
 
 	/**
-	 * The most that was let through in any window.
-	 * @return in quotas
+	 * Returns the maximum use that was admitted in any window.
+	 * @return the use in quotas
 	 */
 	double worstWindow() {
 		double worst = 0;
@@ -187,9 +191,9 @@
 	}
 
 	/**
-	 * What was let through since a moment.
-	 * @param sinceMillis the moment
-	 * @return in quotas
+	 * Returns the use that was admitted since a time.
+	 * @param sinceMillis the time
+	 * @return the use in quotas
 	 */
 	double usedSince(long sinceMillis) {
 		return this.passed.stream().filter((use) -> use.atMillis >= sinceMillis).mapToDouble(Passed::units).sum()
@@ -197,17 +201,17 @@
 	}
 
 	/**
-	 * The share of what was asked for that was let through, by units.
-	 * @return from 0 to 1
+	 * Returns the fraction of the requested units that was admitted.
+	 * @return the fraction, from 0 to 1
 	 */
 	double served() {
 		return usedSince(Long.MIN_VALUE) * this.load.quota / this.asked.stream().mapToDouble(Passed::units).sum();
 	}
 
 	/**
-	 * What was let through, against what one gateway that sees all calls would let
-	 * through without passing the quota in any window.
-	 * @return 1 for as much
+	 * Returns the admitted units, relative to what one gateway that receives all calls
+	 * would admit without exceeding the quota in any window.
+	 * @return the ratio, 1 for as much
 	 */
 	double servedOfDue() {
 		double due = 0;
@@ -230,9 +234,7 @@
 		return this.nowMillis;
 	}
 
-	// -- inside
-
-	// Callers keep to some gateways more than to others: the first has three times the
+	// Callers use some gateways more than others: the first receives three times the
 	// calls of the last.
 	private Gateway caller() {
 		double place = this.random.nextDouble();
@@ -250,7 +252,7 @@
 		}
 	}
 
-	/** A process with the part of the fleet that it hears. */
+	/** A process with its view of the fleet. */
 	private final class Gateway {
 
 		private final int index;
@@ -263,7 +265,7 @@
 
 		private final Map<Integer, Boolean> deafTo = new HashMap<>();
 
-		/** What waits for this process to run again. */
+		/** The tasks that wait until this process resumes. */
 		private final Deque<Runnable> waiting = new ArrayDeque<>();
 
 		private boolean frozen;
@@ -274,7 +276,7 @@
 
 		private int number;
 
-		/** What the last report said. */
+		/** The group in the last report. */
 		private int group;
 
 		private Optional<Use> use = Optional.empty();
@@ -365,7 +367,7 @@
 			}
 		}
 
-		// The last report once more, for one that waits for its confirmation.
+		// Repeats the last report for a gateway that waits for its confirmation.
 		private void answer(int to) {
 			if (this.number == 0) {
 				this.nextTellMillis = QuotaFleet.this.nowMillis;
@@ -389,20 +391,20 @@
 	}
 
 	/**
-	 * What an organisation may use and what it asks for.
+	 * The quota of an organisation and the size of its calls.
 	 *
-	 * @param quota what it may use in a window, in units
-	 * @param callUnits what a call counts on average, in units
-	 * @param slack what may be used beside the quota, in units
+	 * @param quota the units that it may use in a window
+	 * @param callUnits the average units of a call
+	 * @param slack the units that may be used beyond the quota
 	 */
 	record Load(double quota, double callUnits, double slack) {
 	}
 
-	/** A report under way. */
+	/** A report in transit. */
 	private record Telling(int from, int to, String process, Report report, Optional<Use> use, long arrives) {
 	}
 
-	/** A call that was let through. */
+	/** A call that was requested or admitted. */
 	private record Passed(long atMillis, double units) {
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleetTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleetTests.java
@@ -13,13 +13,13 @@
 import static org.assertj.core.api.Assertions.within;
 
 /**
- * Quotas of gateways that tell one another of their use. An organisation's usual use is
- * half of its quota, that is 0.07 quotas a second with a window of eight seconds; floods
- * of eight and sixteen times that were seen.
+ * Tests quotas of gateways that report their use to one another. The usual use of an
+ * organisation is half of its quota, which is 0.07 quotas a second with a window of eight
+ * seconds. Overloads of eight and sixteen times that have been observed.
  */
 class QuotaFleetTests {
 
-	/** What may be let through in a window, in quotas: what comes beyond is a breach. */
+	/** The limit on the use in a window, in quotas. More than that violates the quota. */
 	private static final double MOST = 1.1;
 
 	private static final double USUAL = 0.07;
@@ -28,13 +28,17 @@
 
 	private static final double GREAT_FLOOD = 1.2;
 
-	/** Of all ways from one gateway to another; each takes a pair from the group. */
+	/**
+	 * The fraction of links between gateways that are cut; each removes a pair from the
+	 * group.
+	 */
 	private static final double ONE_WAY_CUTS = 0.03;
 
-	/** Few long prompts a second, each a good part of what the organisation may use. */
+	/** Few long prompts a second, each a considerable fraction of the quota. */
 	private static final QuotaFleet.Load SMALL = new QuotaFleet.Load(261_000, 12_000, 140_000);
 
-	// What is left of a window is let through by each gateway, since news is late.
+	// Guards against each gateway admitting the units that remain of a window, since
+	// reports arrive late.
 	@ParameterizedTest
 	@CsvSource({ "9, 0", "9, 1", "9, 2", "9, 3", "9, 4", "9, 5", "68, 0", "68, 1", "68, 2", "68, 3", "95, 0", "95, 1",
 			"95, 2", "95, 3" })
@@ -45,8 +49,8 @@
 		assertThat(fleet.worstWindow()).isLessThan(MOST);
 	}
 
-	// Gateways that are cut off, deaf, stand still or start anew let through what the
-	// others let through as well.
+	// Guards against gateways that are cut off, receive nothing, are paused or are
+	// restarted: they admit what the others admit as well.
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19 })
 	void shouldHoldQuotaWhateverIsHeard(long seed) {
@@ -77,9 +81,9 @@
 		assertThat(fleet.worstWindow()).isLessThan(MOST);
 	}
 
-	// Busy gateways of a large fleet answer late: some pairs do not confirm one another,
-	// each
-	// gateway sees another group, and long prompts were refused at all of them.
+	// Guards against refusing long prompts at all gateways of a large fleet when some
+	// pairs do not confirm each other, as when busy gateways respond late: each gateway
+	// then sees a different group.
 	@ParameterizedTest
 	@CsvSource({ "87, 0", "87, 1", "87, 2" })
 	void shouldServeLongPromptsWhileSomePairsDoNotHearEachOther(int gateways, long seed) {
@@ -90,7 +94,8 @@
 		assertThat(fleet.servedOfDue()).isGreaterThan(1 - 2 * ONE_WAY_CUTS);
 	}
 
-	// What gateways that do not hear each other give out is given out twice.
+	// Guards against gateways that receive no reports from each other: each gives out
+	// the same units.
 	@ParameterizedTest
 	@CsvSource({ "30, 0", "30, 1", "68, 0", "68, 1", "68, 2", "95, 0", "95, 1" })
 	void shouldHoldQuotaWhileSomePairsDoNotHearEachOther(int gateways, long seed) {
@@ -148,7 +153,8 @@
 			.forEach((other) -> fleet.cut(other, deaf, cut));
 	}
 
-	// All gateways are killed in a flood and forget what was used within the window.
+	// Guards against the kill of all gateways during an overload: they lose the use
+	// within the window.
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 1, 2, 3, 4, 5, 6, 7, 8, 9 })
 	void shouldHoldQuotaOverKillOfAllProcesses(long seed) {
@@ -160,7 +166,8 @@
 		assertThat(fleet.worstWindow()).isLessThan(MOST);
 	}
 
-	// Whatever guards the quota refuses calls of an organisation that keeps to it.
+	// Guards against rules that enforce the quota and refuse calls of an organisation
+	// that stays within it.
 	@ParameterizedTest
 	@CsvSource({ "9, 0", "9, 1", "9, 2", "30, 0", "78, 0", "78, 1" })
 	void shouldRefuseNothingOfUsualUse(int gateways, long seed) {
@@ -178,9 +185,8 @@
 		assertThat(fleet.usedSince(fleet.nowMillis() - 8_000)).isGreaterThan(0.85);
 	}
 
-	// A small organisation's long prompts are refused while most of its quota is left: a
-	// few
-	// of them at one moment are more than what may be used at once.
+	// Guards against refusing long prompts of an organisation with a small quota while
+	// most of it is left: a few of them at a time exceed what may be used in one burst.
 	@ParameterizedTest
 	@CsvSource({ "9, 0", "9, 1", "87, 0", "87, 1", "87, 2" })
 	void shouldServeLongPromptsOfSmallOrganisation(int gateways, long seed) {
@@ -189,7 +195,8 @@
 		assertThat(fleet.servedOfDue()).isGreaterThan(0.98);
 	}
 
-	// What may be used beside the quota is given out once, and not by each gateway.
+	// Guards against each gateway giving out the units beyond the quota: they may be
+	// given out only once.
 	@ParameterizedTest
 	@CsvSource({ "9, 0", "9, 1", "9, 2", "30, 0", "87, 0", "87, 1" })
 	void shouldKeepSmallOrganisationWithinQuotaAndSlack(int gateways, long seed) {
@@ -201,7 +208,8 @@
 		assertThat(fleet.worstWindow()).isLessThan(MOST + SMALL.slack() / SMALL.quota());
 	}
 
-	// A gateway dies, and the others refuse what is due until they know.
+	// Guards against the termination of a gateway: the others refuse permitted calls
+	// until they detect it.
 	@Test
 	void shouldServeUsualUseBesideSilentGateway() {
 		QuotaFleet fleet = QuotaFleet.of(9, 3);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaTableTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaTableTests.java
@@ -54,8 +54,9 @@
 		assertThat(this.quotas.take(SFAX, 120, 7 * SECOND + (wait + 1) * MILLI).waitMillis()).isZero();
 	}
 
-	// All processes are killed and start again. Each admits calls before it hears of the
-	// others; taken as used long ago, those were never counted.
+	// Guards against ignoring use after a kill of all processes: each new process
+	// admits calls before its first report arrives at the others. Taken for use of long
+	// ago, these were never counted.
 	@Test
 	void shouldCountWhatFreshProcessUsedBeforeItWasHeard() {
 		QuotaTable old = table(-8 * SECOND);
@@ -64,8 +65,8 @@
 		assertThat(old.take(SFAX, 0, 0).used()).isEqualTo(700);
 	}
 
-	// Callers of one organisation come to nine processes; each alone sees a ninth of the
-	// use and would let the whole pass nine times over.
+	// Guards against counting own use only: with callers at nine processes, each sees a
+	// ninth of the use and would admit the whole quota.
 	@Test
 	void shouldCountWhatOtherProcessesTell() {
 		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(9_000, 0, false)), 0);
@@ -75,8 +76,9 @@
 		assertThat(this.quotas.take(SFAX, 50, 7 * SECOND).waitMillis()).isZero();
 	}
 
-	// Processes tell of organisations that asked there only. The first call of one at a
-	// process that had none before was taken for old, at all others.
+	// Guards against ignoring the first use at a process that reported before.
+	// Processes report only organisations that requested units there; the first call of
+	// another one was taken for old use at all other processes.
 	@Test
 	void shouldCountFirstUseAtProcessThatWasHeardBefore() {
 		this.quotas.usedByOther("gateway-2", Map.of(), 0);
@@ -93,9 +95,9 @@
 		assertThat(this.quotas.take(SFAX, 170, 7 * SECOND + 900 * MILLI).waitMillis()).isZero();
 	}
 
-	// An organisation floods with summaries of thousands of units. Its bookings count two
-	// hundred each and were refused like them, although all of them together would fit
-	// into a few summaries.
+	// Guards against an overload of summaries with thousands of units each: bookings of
+	// two hundred units each were refused as well, although all of them together have
+	// the units of a few summaries.
 	@Test
 	void shouldKeepPartOfQuotaForSmallCalls() {
 		double summaries = 0;
@@ -119,8 +121,9 @@
 		return taken;
 	}
 
-	// Ten callers are refused at once. All were told the moment at which the units of one
-	// come free; they come back once, and nine of them are refused for good.
+	// Guards against the same retry time for ten callers that are refused at the same
+	// time: it was the time at which the units for one become available. Callers retry
+	// once, so that nine of them were refused finally.
 	@Test
 	void shouldTellRefusedCallersTimesOneAfterTheOther() {
 		for (long second = 0; second < 8; second++) {
@@ -154,10 +157,10 @@
 		assertThat(this.quotas.take(SFAX, 100, 0).waitMillis()).isZero();
 	}
 
-	// A call waits four seconds at a server that then says that it did not run it. Its
-	// units came off the newest use, and left the window once more with the second in
-	// which they were taken: what others of the same organisation really used since was
-	// let through a second time.
+	// Guards against subtracting returned units from the newest use. A call waits four
+	// seconds at a server that then reports that it did not run it. Its units left the
+	// window again with the second in which they were taken, so that later use of the
+	// organisation was admitted twice.
 	@Test
 	void shouldCountWhatRanOnceUnitsOfEarlierCallCameBack() {
 		double[] used = new double[16];
@@ -185,8 +188,9 @@
 		assertThat(this.quotas.take(SFAX, 0, 9 * SECOND).used()).isEqualTo(100);
 	}
 
-	// Nine gateways share a quota of which 400 units are left. What one takes before the
-	// others confirm that they know is no more than its share in what all ask for.
+	// Nine gateways share a quota of which 400 units are left. What one takes before
+	// the others have confirmed its use is no more than its share of the requests at
+	// all.
 	@Test
 	void shouldTakeItsShareOfWhatIsLeftUntilOthersConfirm() {
 		this.quotas.sharing(new Sharing(9, 9, true, 0));
@@ -205,8 +209,9 @@
 		return taken;
 	}
 
-	// A gateway hears two others that do not hear each other. Were each of these to take
-	// the part of the two that it hears, the middle one's part would be used twice.
+	// Guards against overlapping groups: a gateway exchanges reports with two others
+	// that receive none from each other. If each of these took the part of the two
+	// gateways of its group, the part of the middle one would be used twice.
 	@Test
 	void shouldTakePartOfOneGatewayWhereGroupsOverlap() {
 		this.quotas.sharing(new Sharing(3, 2, false, Integer.MAX_VALUE));
@@ -223,8 +228,8 @@
 		assertThat(this.quotas.take(organisation(10), 1, SECOND).waitMillis()).isPositive();
 	}
 
-	// All processes are killed at once while an organisation floods; started anew, they
-	// know nothing of its use and let it have its whole window a second time.
+	// Guards against a kill of all processes during an overload: the new ones do not
+	// know the use of the organisation and admitted its whole window a second time.
 	@Test
 	void shouldTakeQuotaAsUsedBeforeTheStart() {
 		QuotaTable fresh = table(0);
@@ -235,9 +240,9 @@
 		assertThat(taken).isBetween(388.0, 408.0);
 	}
 
-	// All processes are killed; callers come back at once to processes that know
-	// nothing. Each was told to come back after a whole window, as for a quota that is
-	// used up, and gave up, although its units were there a second later.
+	// Guards against retry times that are too late after a kill of all processes:
+	// callers retry immediately, and were told to wait a whole window, as if the quota
+	// was used up. They gave up although the units were available a second later.
 	@Test
 	void shouldTellCallersOfFreshProcessWhenUnitsAreDue() {
 		QuotaTable fresh = table(0);
@@ -247,9 +252,9 @@
 		assertThat(fresh.take(SFAX, 100, (101 + wait) * MILLI).waitMillis()).isZero();
 	}
 
-	// Three of nine gateways are cut off from the others, each by itself, while their
-	// callers still reach them and an organisation floods through all nine. Each counted
-	// only what it heard of, and together they let more pass than the quota.
+	// Guards against exceeding the quota when three of nine gateways are cut off, each
+	// by itself, and an organisation overloads all nine: each counted only the use that
+	// was reported to it.
 	@Test
 	void shouldStayWithinQuotaWhenProcessesAreCutOff() {
 		List<QuotaTable> joined = Stream.generate(() -> table(-8 * SECOND)).limit(6).toList();
@@ -272,9 +277,9 @@
 		assertThat(DoubleStream.of(used).sum()).isBetween(700.0, 850.0 + 9 * 3);
 	}
 
-	// An organisation that was quiet begins to flood; 4.4 s later all processes are
-	// killed and forget. What was let through before the kill and what the new processes
-	// let through must stay within the quota together.
+	// Guards against exceeding the quota when all processes are killed 4.4 s after an
+	// organisation without recent use begins to overload them: the use admitted before
+	// the kill and by the new processes must stay within the quota together.
 	@Test
 	void shouldStayWithinQuotaOverKillOfAllProcesses() {
 		double taken = flood(this.quotas, 0, 4_400);
