--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/TableFollower.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/TableFollower.java
@@ -226,7 +226,7 @@
 				lost.ifPresent((deaf) -> feedOver(deaf, nowNanos));
 			}
 			case Question.OfGateway _ ->
-				throw new IllegalArgumentException("a query to a gateway was answered by the store");
+				throw new IllegalArgumentException("no response of the store answers a query to a gateway");
 		}
 		return new Answer(failed, lost, older, firstHand);
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedStore.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedStore.java
@@ -126,7 +126,7 @@
 				}
 			}
 			case Question.OfGateway _ ->
-				throw new IllegalArgumentException("a query to a gateway was sent to the store");
+				throw new IllegalArgumentException("the store was asked to answer a query to a gateway");
 		}
 	}
 
