--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/Freshness.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/Freshness.java
@@ -11,7 +11,7 @@
  *
  * <pre>
  * Freshness freshness = Freshness.unproven(TimeUnit.SECONDS.toNanos(3));
- * freshness.proven(sentNanos, Source.STORE);
+ * freshness.confirm(sentNanos, Source.STORE);
  * long age = freshness.ageNanos(System.nanoTime()).orElse(Long.MAX_VALUE);
  * </pre>
  */
@@ -26,13 +26,13 @@
 
 	private final long outageNanos;
 
-	private OptionalLong provenNanos = OptionalLong.empty();
+	private OptionalLong confirmedNanos = OptionalLong.empty();
 
 	/** When the last outage of the store ended. */
 	private OptionalLong returnedNanos = OptionalLong.empty();
 
 	/** When the process last resumed after a pause. */
-	private OptionalLong forgotNanos = OptionalLong.empty();
+	private OptionalLong resumedNanos = OptionalLong.empty();
 
 	private Source source = Source.NOBODY;
 
@@ -54,26 +54,27 @@
 	 * Records that all changes up to a point in time have been received.
 	 * @param atNanos the point in time, on the monotonic clock; ignored if it is not
 	 * later than the last one
-	 * @param by the source of the confirmation
+	 * @param newSource the source of the confirmation
 	 */
-	public synchronized void proven(long atNanos, Source by) {
-		Objects.requireNonNull(by, "by is null");
-		boolean newer = this.provenNanos.isEmpty() || atNanos - this.provenNanos.getAsLong() > 0;
-		if (newer && !isForgotten(atNanos, by)) {
+	public synchronized void confirm(long atNanos, Source newSource) {
+		Objects.requireNonNull(newSource, "newSource is null");
+		boolean newer = this.confirmedNanos.isEmpty() || atNanos - this.confirmedNanos.getAsLong() > 0;
+		if (newer && !isDiscarded(atNanos, newSource)) {
 			noteOutage(atNanos);
-			this.provenNanos = OptionalLong.of(atNanos);
-			this.source = by;
+			this.confirmedNanos = OptionalLong.of(atNanos);
+			this.source = newSource;
 		}
 	}
 
-	private boolean isForgotten(long atNanos, Source by) {
-		long waitNanos = (by == Source.REPORT) ? REPORT_WAIT_NANOS : 0;
-		return this.forgotNanos.isPresent() && atNanos - this.forgotNanos.getAsLong() - waitNanos < 0;
+	private boolean isDiscarded(long atNanos, Source newSource) {
+		long waitNanos = (newSource == Source.REPORT) ? REPORT_WAIT_NANOS : 0;
+		return this.resumedNanos.isPresent() && atNanos - this.resumedNanos.getAsLong() - waitNanos < 0;
 	}
 
 	private void noteOutage(long atNanos) {
-		boolean away = this.provenNanos.isPresent() && atNanos - this.provenNanos.getAsLong() >= this.outageNanos;
-		this.returnedNanos = away ? OptionalLong.of(atNanos) : this.returnedNanos;
+		boolean outage = this.confirmedNanos.isPresent()
+				&& atNanos - this.confirmedNanos.getAsLong() >= this.outageNanos;
+		this.returnedNanos = outage ? OptionalLong.of(atNanos) : this.returnedNanos;
 	}
 
 	/**
@@ -82,10 +83,10 @@
 	 * reports may have waited in the socket.
 	 * @param nowNanos the time at which the process resumed, on the monotonic clock
 	 */
-	public synchronized void forget(long nowNanos) {
-		this.provenNanos = OptionalLong.empty();
+	public synchronized void discardConfirmation(long nowNanos) {
+		this.confirmedNanos = OptionalLong.empty();
 		this.source = Source.NOBODY;
-		this.forgotNanos = OptionalLong.of(nowNanos);
+		this.resumedNanos = OptionalLong.of(nowNanos);
 	}
 
 	/**
@@ -94,8 +95,8 @@
 	 * @return the time in nanoseconds, empty while there is no confirmation
 	 */
 	public synchronized OptionalLong ageNanos(long nowNanos) {
-		return this.provenNanos.isPresent() ? OptionalLong.of(Math.max(0, nowNanos - this.provenNanos.getAsLong()))
-				: OptionalLong.empty();
+		return this.confirmedNanos.isPresent()
+				? OptionalLong.of(Math.max(0, nowNanos - this.confirmedNanos.getAsLong())) : OptionalLong.empty();
 	}
 
 	/**
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/FreshnessLimits.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/FreshnessLimits.java
@@ -21,13 +21,13 @@
 	 * The default time within which an acknowledged change must take effect, in
 	 * milliseconds.
 	 */
-	private static final long USUAL_BOUND_MILLIS = 2_000;
+	private static final long DEFAULT_BOUND_MILLIS = 2_000;
 
 	/**
 	 * With longer limits the time without a confirmation would reach that of an outage,
 	 * in which registrations expire.
 	 */
-	private static final double SCALE_MOST = 1.5;
+	private static final double MAX_SCALE = 1.5;
 
 	private static final long FIRST_MILLIS = 500;
 
@@ -45,7 +45,7 @@
 	 * @return the limits
 	 */
 	public static FreshnessLimits usual() {
-		return within(USUAL_BOUND_MILLIS);
+		return within(DEFAULT_BOUND_MILLIS);
 	}
 
 	/**
@@ -54,7 +54,7 @@
 	 * @return the limits, in proportion to the bound, at most 1.5 times the default ones
 	 */
 	public static FreshnessLimits within(long boundMillis) {
-		double scale = Math.min(SCALE_MOST, (double) boundMillis / USUAL_BOUND_MILLIS);
+		double scale = Math.min(MAX_SCALE, (double) boundMillis / DEFAULT_BOUND_MILLIS);
 		return new FreshnessLimits(nanos(FIRST_MILLIS, scale), nanos(STAND_BY_MILLIS, scale),
 				nanos(RESTING_MILLIS, scale), nanos(OWN_MILLIS, scale), nanos(SPREAD_MILLIS, scale));
 	}
@@ -76,14 +76,14 @@
 	/**
 	 * Returns the limit for a role.
 	 * @param role the role
-	 * @param place the position of a resting gateway within the spread, from 0 to 1
+	 * @param position the position of a resting gateway within the spread, from 0 to 1
 	 * @return the limit in nanoseconds
 	 */
-	public long of(Role role, double place) {
+	public long forRole(Role role, double position) {
 		return switch (role) {
 			case FIRST -> this.firstNanos;
 			case STAND_BY -> this.standByNanos;
-			case RESTING -> this.restingNanos + Math.round(this.spreadNanos * place);
+			case RESTING -> this.restingNanos + Math.round(this.spreadNanos * position);
 		};
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/TableFollower.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/TableFollower.java
@@ -32,48 +32,48 @@
 public final class TableFollower {
 
 	/** How long the store holds one query for changes open, in nanoseconds. */
-	private static final long FEED_NANOS = TimeUnit.SECONDS.toNanos(20);
+	private static final long FEED_WAIT_NANOS = TimeUnit.SECONDS.toNanos(20);
 
 	/**
 	 * The pause after a response with changes, in nanoseconds. Servers start and leave
 	 * many at a time, and the next response contains all changes made during the pause.
 	 */
-	private static final long MERGE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+	private static final long FEED_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
 	/** The time after which an unanswered query is sent again, in nanoseconds. */
-	private static final long AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+	private static final long RETRY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
 	/**
 	 * The time after which an unanswered query for the whole table is sent again, in
 	 * nanoseconds. A whole table takes longer to send and to read.
 	 */
-	private static final long WHOLE_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
+	private static final long WHOLE_TABLE_RETRY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
 	/**
 	 * The time to wait for the store before another gateway is queried for a reported
 	 * change, in nanoseconds.
 	 */
-	private static final long GATEWAY_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+	private static final long GATEWAY_QUERY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
 	/**
 	 * The age from which on a pending query for changes counts as lost when a check finds
 	 * changes, in nanoseconds. The response to a younger one may still be in transit.
 	 */
-	private static final long DEAF_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+	private static final long LOST_FEED_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
 	/**
 	 * The backoff after the first failure, in nanoseconds; it doubles with each further
 	 * one.
 	 */
-	private static final long BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+	private static final long INITIAL_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
 	/**
 	 * The maximum backoff, in nanoseconds. The entries of servers are back two seconds
 	 * after the store is available again, and must be read by then.
 	 */
-	private static final long BACKOFF_MOST_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
+	private static final long MAX_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
 
-	private static final int DOUBLINGS_MOST = 6;
+	private static final int MAX_DOUBLINGS = 6;
 
 	private final Freshness freshness;
 
@@ -82,19 +82,19 @@
 	private final DoubleSupplier random;
 
 	/** The position of this gateway within the spread of the limits, from 0 to 1. */
-	private final double place;
+	private final double spreadPosition;
 
 	private Role role = Role.STAND_BY;
 
 	/** The confirmations that this gateway received from the store itself. */
-	private final Freshness own = Freshness.unproven(Long.MAX_VALUE);
+	private final Freshness ownFreshness = Freshness.unproven(Long.MAX_VALUE);
 
 	private long version;
 
 	/** Whether the whole table has to be read. */
-	private boolean wholeWanted = true;
+	private boolean wholeTableNeeded = true;
 
-	private Optional<Long> nextWholeNanos = Optional.empty();
+	private Optional<Long> nextWholeTableNanos = Optional.empty();
 
 	/** The pending query for changes. */
 	private Optional<Asked> feed = Optional.empty();
@@ -106,10 +106,10 @@
 	/**
 	 * Since when a query that is answered immediately has been waiting for its response.
 	 */
-	private Optional<Long> waitingNanos = Optional.empty();
+	private Optional<Long> unansweredSinceNanos = Optional.empty();
 
 	/** The newest version reported by another gateway whose changes were missing here. */
-	private long toldVersion;
+	private long reportedVersion;
 
 	private Optional<Long> nextGatewayNanos = Optional.empty();
 
@@ -119,7 +119,7 @@
 		this.freshness = freshness;
 		this.limits = limits;
 		this.random = random;
-		this.place = random.getAsDouble();
+		this.spreadPosition = random.getAsDouble();
 	}
 
 	/**
@@ -143,121 +143,122 @@
 	 */
 	public List<Asked> tick(Role newRole, long nowNanos) {
 		this.role = newRole;
-		List<Asked> questions = new ArrayList<>();
-		if (this.wholeWanted) {
-			askWhole(questions, nowNanos);
+		List<Asked> queries = new ArrayList<>();
+		if (this.wholeTableNeeded) {
+			addWholeTableQuery(queries, nowNanos);
 		}
 		else {
-			askFeed(questions, nowNanos);
-			askCheck(questions, nowNanos);
+			addFeed(queries, nowNanos);
+			addCheck(queries, nowNanos);
 		}
-		askGateway(questions, nowNanos);
-		return questions;
+		addGatewayQuery(queries, nowNanos);
+		return queries;
 	}
 
-	private void askWhole(List<Asked> questions, long nowNanos) {
-		if (isDue(this.nextWholeNanos, nowNanos)) {
-			this.nextWholeNanos = Optional.of(nowNanos + WHOLE_AGAIN_NANOS);
-			questions.add(new Asked(new Question.Whole(), nowNanos));
-			noteWaiting(nowNanos);
+	private void addWholeTableQuery(List<Asked> queries, long nowNanos) {
+		if (isDue(this.nextWholeTableNanos, nowNanos)) {
+			this.nextWholeTableNanos = Optional.of(nowNanos + WHOLE_TABLE_RETRY_INTERVAL_NANOS);
+			queries.add(new Asked(new Question.Whole(), nowNanos));
+			recordUnanswered(nowNanos);
 		}
 	}
 
-	private void askFeed(List<Asked> questions, long nowNanos) {
+	private void addFeed(List<Asked> queries, long nowNanos) {
 		if (this.role.reads() && this.feed.isEmpty() && isDue(this.nextFeedNanos, nowNanos)) {
-			this.feed = Optional.of(new Asked(new Question.Feed(this.version, FEED_NANOS), nowNanos));
-			questions.add(this.feed.get());
+			this.feed = Optional.of(new Asked(new Question.Feed(this.version, FEED_WAIT_NANOS), nowNanos));
+			queries.add(this.feed.get());
 		}
 	}
 
-	private void askCheck(List<Asked> questions, long nowNanos) {
-		boolean wanted = this.toldVersion > this.version || isOld(nowNanos);
-		if (wanted && isDue(this.nextCheckNanos, nowNanos)) {
-			this.nextCheckNanos = Optional.of(nowNanos + AGAIN_NANOS);
-			questions.add(new Asked(new Question.Check(this.version), nowNanos));
-			noteWaiting(nowNanos);
+	private void addCheck(List<Asked> queries, long nowNanos) {
+		boolean needed = this.reportedVersion > this.version || isConfirmationTooOld(nowNanos);
+		if (needed && isDue(this.nextCheckNanos, nowNanos)) {
+			this.nextCheckNanos = Optional.of(nowNanos + RETRY_INTERVAL_NANOS);
+			queries.add(new Asked(new Question.Check(this.version), nowNanos));
+			recordUnanswered(nowNanos);
 		}
 	}
 
 	// The store may never respond to this gateway and still serve others.
-	private void askGateway(List<Asked> questions, long nowNanos) {
-		boolean missing = this.toldVersion > this.version && (this.waitingNanos.isPresent() || this.failures > 0);
+	private void addGatewayQuery(List<Asked> queries, long nowNanos) {
+		boolean missing = this.reportedVersion > this.version
+				&& (this.unansweredSinceNanos.isPresent() || this.failures > 0);
 		if (missing && isDue(this.nextGatewayNanos, nowNanos)) {
-			this.nextGatewayNanos = Optional.of(nowNanos + AGAIN_NANOS);
-			questions.add(new Asked(new Question.OfGateway(this.version), nowNanos));
+			this.nextGatewayNanos = Optional.of(nowNanos + RETRY_INTERVAL_NANOS);
+			queries.add(new Asked(new Question.OfGateway(this.version), nowNanos));
 		}
 	}
 
 	/**
 	 * Processes a response of the store. Must be called before the rows are applied, so
 	 * that an outage of the store is known by then.
-	 * @param asked the query
-	 * @param answerVersion the version of the store
+	 * @param sent the query
+	 * @param storeVersion the version of the store
 	 * @param rows whether the response contains rows
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the properties of the response
 	 */
-	public Answer answered(Asked asked, long answerVersion, boolean rows, long nowNanos) {
-		int failed = this.failures;
+	public Answer answered(Asked sent, long storeVersion, boolean rows, long nowNanos) {
+		int failuresBefore = this.failures;
 		this.failures = 0;
-		if (!(asked.question() instanceof Question.Feed)) {
-			this.waitingNanos = Optional.empty();
+		if (!(sent.question() instanceof Question.Feed)) {
+			this.unansweredSinceNanos = Optional.empty();
 		}
 		Optional<Asked> lost = Optional.empty();
-		boolean firstHand = rows && this.toldVersion <= this.version;
-		boolean older = answerVersion < since(asked.question());
-		if (!older) {
-			long provenNanos = provenNanos(asked, rows, nowNanos);
-			this.own.proven(provenNanos, Source.STORE);
-			this.freshness.proven(provenNanos, Source.STORE);
-			this.version = Math.max(this.version, answerVersion);
+		boolean unreported = rows && this.reportedVersion <= this.version;
+		boolean outdated = storeVersion < queriedVersion(sent.question());
+		if (!outdated) {
+			long confirmedNanos = confirmedNanos(sent, rows, nowNanos);
+			this.ownFreshness.confirm(confirmedNanos, Source.STORE);
+			this.freshness.confirm(confirmedNanos, Source.STORE);
+			this.version = Math.max(this.version, storeVersion);
 		}
-		switch (asked.question()) {
+		switch (sent.question()) {
 			case Question.Whole _ -> {
-				this.wholeWanted = older;
+				this.wholeTableNeeded = outdated;
 				this.feed = Optional.empty();
 				this.nextFeedNanos = Optional.empty();
 				this.nextCheckNanos = Optional.empty();
 			}
-			case Question.Feed _ -> feedOver(asked, rows ? nowNanos + MERGE_NANOS : nowNanos);
+			case Question.Feed _ -> endFeed(sent, rows ? nowNanos + FEED_PAUSE_NANOS : nowNanos);
 			case Question.Check _ -> {
 				this.nextCheckNanos = Optional.empty();
-				lost = rows ? deafFeed(nowNanos) : Optional.empty();
-				lost.ifPresent((deaf) -> feedOver(deaf, nowNanos));
+				lost = rows ? lostFeed(nowNanos) : Optional.empty();
+				lost.ifPresent((lostQuery) -> endFeed(lostQuery, nowNanos));
 			}
 			case Question.OfGateway _ ->
 				throw new IllegalArgumentException("no response of the store answers a query to a gateway");
 		}
-		return new Answer(failed, lost, older, firstHand);
+		return new Answer(failuresBefore, lost, outdated, unreported);
 	}
 
 	/**
 	 * Processes the failure of a query to the store.
-	 * @param asked the query
+	 * @param sent the query
 	 * @param historyLost whether the store no longer keeps the changes after the queried
 	 * version
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the query to send to another gateway, which the store may serve; empty if
 	 * none is needed
 	 */
-	public Optional<Asked> failed(Asked asked, boolean historyLost, long nowNanos) {
-		long pause = jittered(historyLost ? BACKOFF_NANOS / 4
-				: Math.min(BACKOFF_MOST_NANOS, BACKOFF_NANOS << Math.min(this.failures, DOUBLINGS_MOST)));
-		Optional<Long> next = Optional.of(nowNanos + pause);
-		if (asked.question() instanceof Question.Feed) {
-			boolean counted = this.feed.equals(Optional.of(asked));
-			feedOver(asked, nowNanos);
-			if (!counted || !this.role.reads()) {
+	public Optional<Asked> failed(Asked sent, boolean historyLost, long nowNanos) {
+		long backoff = jittered(historyLost ? INITIAL_BACKOFF_NANOS / 4
+				: Math.min(MAX_BACKOFF_NANOS, INITIAL_BACKOFF_NANOS << Math.min(this.failures, MAX_DOUBLINGS)));
+		Optional<Long> next = Optional.of(nowNanos + backoff);
+		if (sent.question() instanceof Question.Feed) {
+			boolean current = this.feed.equals(Optional.of(sent));
+			endFeed(sent, nowNanos);
+			if (!current || !this.role.reads()) {
 				return Optional.empty();
 			}
 			// The feed may have delivered nothing for a while before it broke off.
-			this.wholeWanted = true;
+			this.wholeTableNeeded = true;
 		}
 		else {
-			this.waitingNanos = Optional.empty();
+			this.unansweredSinceNanos = Optional.empty();
 		}
-		this.wholeWanted |= historyLost;
-		this.nextWholeNanos = next;
+		this.wholeTableNeeded |= historyLost;
+		this.nextWholeTableNanos = next;
 		this.nextCheckNanos = next;
 		if (historyLost) {
 			return Optional.empty();
@@ -268,26 +269,27 @@
 
 	/**
 	 * Processes what another gateway reports of the table.
-	 * @param newest the version of the store up to which the other gateway has the table
-	 * @param whole whether the local copy now includes all changes up to that version
-	 * @param provenNanos when the copy of the other gateway was last confirmed to be
+	 * @param otherVersion the version of the store up to which the other gateway has the
+	 * table
+	 * @param complete whether the local copy now includes all changes up to that version
+	 * @param confirmedNanos when the copy of the other gateway was last confirmed to be
 	 * current, empty if unknown
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	public void told(long newest, boolean whole, Optional<Long> provenNanos, long nowNanos) {
-		if (whole) {
-			this.version = Math.max(this.version, newest);
-			provenNanos.ifPresent((at) -> this.freshness.proven(at, Source.REPORT));
+	public void told(long otherVersion, boolean complete, Optional<Long> confirmedNanos, long nowNanos) {
+		if (complete) {
+			this.version = Math.max(this.version, otherVersion);
+			confirmedNanos.ifPresent((at) -> this.freshness.confirm(at, Source.REPORT));
 		}
-		else if (newest > this.version) {
-			noteMissing(newest, nowNanos);
+		else if (otherVersion > this.version) {
+			recordMissing(otherVersion, nowNanos);
 		}
 	}
 
-	private void noteMissing(long newest, long nowNanos) {
-		if (newest > this.toldVersion) {
-			this.toldVersion = newest;
-			this.nextGatewayNanos = Optional.of(nowNanos + GATEWAY_NANOS);
+	private void recordMissing(long otherVersion, long nowNanos) {
+		if (otherVersion > this.reportedVersion) {
+			this.reportedVersion = otherVersion;
+			this.nextGatewayNanos = Optional.of(nowNanos + GATEWAY_QUERY_DELAY_NANOS);
 		}
 	}
 
@@ -297,8 +299,8 @@
 	 * @param nowNanos the time at which the process resumed, on the monotonic clock
 	 */
 	public void paused(long nowNanos) {
-		this.own.forget(nowNanos);
-		this.freshness.forget(nowNanos);
+		this.ownFreshness.discardConfirmation(nowNanos);
+		this.freshness.discardConfirmation(nowNanos);
 	}
 
 	/**
@@ -308,7 +310,7 @@
 	 */
 	public boolean isReading(long nowNanos) {
 		boolean answered = this.failures == 0 && !isUnanswered(nowNanos);
-		return this.role.reads() && answered && this.own.isWithin(this.limits.ownNanos(), nowNanos)
+		return this.role.reads() && answered && this.ownFreshness.isWithin(this.limits.ownNanos(), nowNanos)
 				&& this.freshness.isWithin(this.limits.restingNanos(), nowNanos);
 	}
 
@@ -320,7 +322,7 @@
 	 * or the last process pause
 	 */
 	public OptionalLong ownAgeNanos(long nowNanos) {
-		return this.own.ageNanos(nowNanos);
+		return this.ownFreshness.ageNanos(nowNanos);
 	}
 
 	/**
@@ -333,27 +335,27 @@
 
 	// A gateway that reads for others does not rely on the confirmations that they
 	// report.
-	private boolean isOld(long nowNanos) {
-		boolean ownOld = this.role.reads() && !this.own.isWithin(this.limits.ownNanos() / 2, nowNanos);
-		return ownOld || !this.freshness.isWithin(this.limits.of(this.role, this.place), nowNanos);
+	private boolean isConfirmationTooOld(long nowNanos) {
+		boolean ownTooOld = this.role.reads() && !this.ownFreshness.isWithin(this.limits.ownNanos() / 2, nowNanos);
+		return ownTooOld || !this.freshness.isWithin(this.limits.forRole(this.role, this.spreadPosition), nowNanos);
 	}
 
 	private boolean isUnanswered(long nowNanos) {
-		return this.waitingNanos.filter((since) -> nowNanos - since >= AGAIN_NANOS).isPresent();
+		return this.unansweredSinceNanos.filter((since) -> nowNanos - since >= RETRY_INTERVAL_NANOS).isPresent();
 	}
 
-	private void noteWaiting(long nowNanos) {
-		if (this.waitingNanos.isEmpty()) {
-			this.waitingNanos = Optional.of(nowNanos);
+	private void recordUnanswered(long nowNanos) {
+		if (this.unansweredSinceNanos.isEmpty()) {
+			this.unansweredSinceNanos = Optional.of(nowNanos);
 		}
 	}
 
-	private Optional<Asked> deafFeed(long nowNanos) {
-		return this.feed.filter((asked) -> nowNanos - asked.sentNanos() > DEAF_NANOS);
+	private Optional<Asked> lostFeed(long nowNanos) {
+		return this.feed.filter((sent) -> nowNanos - sent.sentNanos() > LOST_FEED_AGE_NANOS);
 	}
 
-	private void feedOver(Asked asked, long nextNanos) {
-		if (this.feed.equals(Optional.of(asked))) {
+	private void endFeed(Asked sent, long nextNanos) {
+		if (this.feed.equals(Optional.of(sent))) {
 			this.feed = Optional.empty();
 			this.nextFeedNanos = Optional.of(nextNanos);
 		}
@@ -362,14 +364,14 @@
 	// Returns the time up to which a response confirms that all changes were received.
 	// Changes that arrived before the end of the wait were sent at an unknown time
 	// during it.
-	private static long provenNanos(Asked asked, boolean rows, long nowNanos) {
-		boolean waited = asked.question() instanceof Question.Feed && !rows;
-		return waited ? Math.min(nowNanos, asked.sentNanos() + FEED_NANOS) : asked.sentNanos();
+	private static long confirmedNanos(Asked sent, boolean rows, long nowNanos) {
+		boolean waited = sent.question() instanceof Question.Feed && !rows;
+		return waited ? Math.min(nowNanos, sent.sentNanos() + FEED_WAIT_NANOS) : sent.sentNanos();
 	}
 
-	private long since(Question question) {
-		return switch (question) {
-			case Question.Feed feedQuestion -> feedQuestion.since();
+	private long queriedVersion(Question query) {
+		return switch (query) {
+			case Question.Feed feedQuery -> feedQuery.since();
 			case Question.Check check -> check.since();
 			case Question.Whole _, Question.OfGateway _ -> this.version;
 		};
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/FreshnessLimitsTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/FreshnessLimitsTests.java
@@ -11,17 +11,17 @@
 
 	@ParameterizedTest
 	@CsvSource({ "1000, 250, 550", "2000, 500, 1100", "3000, 750, 1650", "9000, 750, 1650" })
-	void shouldBePartsOfTheBound(long boundMillis, long firstMillis, long restingMillis) {
+	void shouldScaleWithTheBound(long boundMillis, long firstMillis, long restingMillis) {
 		FreshnessLimits limits = FreshnessLimits.within(boundMillis);
-		assertThat(limits.of(Role.FIRST, 1)).isEqualTo(TimeUnit.MILLISECONDS.toNanos(firstMillis));
-		assertThat(limits.of(Role.RESTING, 0)).isEqualTo(TimeUnit.MILLISECONDS.toNanos(restingMillis));
+		assertThat(limits.forRole(Role.FIRST, 1)).isEqualTo(TimeUnit.MILLISECONDS.toNanos(firstMillis));
+		assertThat(limits.forRole(Role.RESTING, 0)).isEqualTo(TimeUnit.MILLISECONDS.toNanos(restingMillis));
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "FIRST, STAND_BY", "STAND_BY, RESTING" })
-	void shouldLetThoseAskFirstWhoReadForTheOthers(Role first, Role then) {
+	void shouldHaveShorterLimitWhenRoleReadsForOthers(Role earlier, Role later) {
 		FreshnessLimits limits = FreshnessLimits.usual();
-		assertThat(limits.of(first, 1)).isLessThan(limits.of(then, 0));
+		assertThat(limits.forRole(earlier, 1)).isLessThan(limits.forRole(later, 0));
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleet.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleet.java
@@ -22,21 +22,21 @@
 
 	static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
-	private static final long TICK = 50 * MILLI;
+	private static final long TICK_NANOS = 50 * MILLI;
 
-	private static final long ANSWER_MOST = 1_200 * MILLI;
+	private static final long RESPONSE_TIMEOUT_NANOS = 1_200 * MILLI;
 
-	private static final long URGENT = 50 * MILLI;
+	private static final long URGENT_REPORT_INTERVAL_NANOS = 50 * MILLI;
 
-	private static final long OUTAGE = 2_400 * MILLI;
+	private static final long OUTAGE_NANOS = 2_400 * MILLI;
 
-	private static final long FIRST_HAND = 1_000 * MILLI;
+	private static final long UNREPORTED_CHANGES_PERIOD_NANOS = 1_000 * MILLI;
 
 	/** The number of reports that include a change. */
-	private static final int TIMES_TOLD = 3;
+	private static final int REPORTS_PER_CHANGE = 3;
 
 	/** The maximum number of changes in a report. */
-	private static final int FITTING = 3;
+	private static final int MAX_CHANGES_PER_REPORT = 3;
 
 	final SimulatedStore store;
 
@@ -60,8 +60,8 @@
 		this.store = new SimulatedStore();
 		this.gateways = IntStream.range(0, count).mapToObj(Gateway::new).toList();
 		this.gateways.forEach((gateway) -> {
-			this.gateways.forEach((other) -> gateway.found(other));
-			at(this.random.nextLong(TICK), gateway::tick);
+			this.gateways.forEach((other) -> gateway.addGateway(other));
+			at(this.random.nextLong(TICK_NANOS), gateway::tick);
 		});
 	}
 
@@ -100,15 +100,15 @@
 	long worstMillis(Gateway gateway) {
 		long worst = 0;
 		for (int change = 0; change < this.store.changes(); change++) {
-			long learned = (gateway.learned.size() > change) ? gateway.learned.get(change) : -1;
+			long receivedAt = (gateway.receivedAtNanos.size() > change) ? gateway.receivedAtNanos.get(change) : -1;
 			long at = this.store.changedAt(change);
-			worst = Math.max(worst, ((learned < 0) ? this.now : learned) - at);
+			worst = Math.max(worst, ((receivedAt < 0) ? this.now : receivedAt) - at);
 		}
 		return worst / MILLI;
 	}
 
 	// A transit time of one millisecond and a random part.
-	private long way(int moreMillis) {
+	private long transitNanos(int moreMillis) {
 		return MILLI + this.random.nextLong(moreMillis * MILLI);
 	}
 
@@ -117,7 +117,7 @@
 
 		final int index;
 
-		final Freshness freshness = Freshness.unproven(OUTAGE);
+		final Freshness freshness = Freshness.unproven(OUTAGE_NANOS);
 
 		private final Fleet fleet;
 
@@ -125,13 +125,13 @@
 				SimulatedFleet.this.random::nextDouble);
 
 		/** When each change was received, -1 for those that were not. */
-		private final List<Long> learned = new ArrayList<>();
+		private final List<Long> receivedAtNanos = new ArrayList<>();
 
-		private final BitSet knows = new BitSet();
+		private final BitSet receivedChanges = new BitSet();
 
-		private final List<Heard> waiting = new ArrayList<>();
+		private final List<ReceivedReport> receivedReports = new ArrayList<>();
 
-		private final List<Long> told = new ArrayList<>();
+		private final List<Long> reportedVersions = new ArrayList<>();
 
 		private long version;
 
@@ -139,13 +139,13 @@
 		 * The gateway that reported changes that are missing here; null if any gateway
 		 * may be queried.
 		 */
-		private Gateway teller;
+		private Gateway reporter;
 
 		private boolean urgent;
 
-		private long firstHandUntil;
+		private long reportsUntilNanos;
 
-		private long toldNanos = -URGENT;
+		private long lastReportNanos = -URGENT_REPORT_INTERVAL_NANOS;
 
 		private int number;
 
@@ -156,10 +156,10 @@
 		long pausedUntil;
 
 		/** Whether its reports reach no other gateway. */
-		boolean mute;
+		boolean sendsNoReports;
 
 		/** Whether no reports reach it. */
-		boolean deaf;
+		boolean receivesNoReports;
 
 		Gateway(int index) {
 			this.index = index;
@@ -170,7 +170,7 @@
 			return "gateway-" + this.index;
 		}
 
-		private void found(Gateway other) {
+		private void addGateway(Gateway other) {
 			if (other != this) {
 				this.fleet.found(other.name(), 0);
 			}
@@ -185,83 +185,86 @@
 				at(pause, this::tick);
 				return;
 			}
-			this.waiting.forEach(this::take);
-			this.waiting.clear();
+			this.receivedReports.forEach(this::processReport);
+			this.receivedReports.clear();
 			this.fleet.fallenSilent(SimulatedFleet.this.now);
 			this.role = this.fleet.role(name(), SimulatedFleet.this.now);
-			this.follower.tick(this.role, SimulatedFleet.this.now).forEach(this::ask);
-			boolean tells = this.firstHandUntil > SimulatedFleet.this.now
+			this.follower.tick(this.role, SimulatedFleet.this.now).forEach(this::send);
+			boolean reports = this.reportsUntilNanos > SimulatedFleet.this.now
 					|| this.follower.isReading(SimulatedFleet.this.now);
-			long pace = (this.urgent && tells) ? URGENT : this.fleet.reportNanos();
-			if (SimulatedFleet.this.now - this.toldNanos >= pace) {
-				tell();
+			long interval = (this.urgent && reports) ? URGENT_REPORT_INTERVAL_NANOS : this.fleet.reportNanos();
+			if (SimulatedFleet.this.now - this.lastReportNanos >= interval) {
+				sendReports();
 			}
-			at(TICK, this::tick);
+			at(TICK_NANOS, this::tick);
 		}
 
 		// -- queries
 
-		private void ask(Asked asked) {
-			if (asked.question() instanceof Question.OfGateway ofGateway) {
-				askGateway(ofGateway.known());
+		private void send(Asked sent) {
+			if (sent.question() instanceof Question.OfGateway ofGateway) {
+				queryGateway(ofGateway.known());
 				return;
 			}
-			long way = way(3);
-			at(way, () -> SimulatedFleet.this.store.ask(this.index, asked, SimulatedFleet.this.now,
-					(reply) -> at(way(3), () -> answered(asked, reply))));
-			boolean feed = asked.question() instanceof Question.Feed;
-			at(ANSWER_MOST + (feed ? TimeUnit.SECONDS.toNanos(20) : 0),
-					() -> SimulatedFleet.this.store.unanswered(asked).ifPresent((reply) -> answered(asked, reply)));
+			long transitNanos = transitNanos(3);
+			at(transitNanos, () -> SimulatedFleet.this.store.query(this.index, sent, SimulatedFleet.this.now,
+					(response) -> at(transitNanos(3), () -> processResponse(sent, response))));
+			boolean feed = sent.question() instanceof Question.Feed;
+			at(RESPONSE_TIMEOUT_NANOS + (feed ? TimeUnit.SECONDS.toNanos(20) : 0),
+					() -> SimulatedFleet.this.store.unanswered(sent)
+						.ifPresent((response) -> processResponse(sent, response)));
 		}
 
-		private void answered(Asked asked, SimulatedStore.Reply reply) {
+		private void processResponse(Asked sent, SimulatedStore.Response response) {
 			if (this.killed) {
 				return;
 			}
 			if (this.pausedUntil > SimulatedFleet.this.now) {
-				at(this.pausedUntil - SimulatedFleet.this.now, () -> answered(asked, reply));
+				at(this.pausedUntil - SimulatedFleet.this.now, () -> processResponse(sent, response));
 				return;
 			}
-			switch (reply) {
-				case SimulatedStore.Reply.Rows rows -> {
-					boolean firstHand = this.follower
-						.answered(asked, rows.version(), !rows.changes().isEmpty(), SimulatedFleet.this.now)
+			switch (response) {
+				case SimulatedStore.Response.Rows rows -> {
+					boolean unreported = this.follower
+						.answered(sent, rows.version(), !rows.changes().isEmpty(), SimulatedFleet.this.now)
 						.firstHand();
-					this.firstHandUntil = firstHand ? SimulatedFleet.this.now + FIRST_HAND : this.firstHandUntil;
-					learn(rows.changes(), rows.version());
+					this.reportsUntilNanos = unreported ? SimulatedFleet.this.now + UNREPORTED_CHANGES_PERIOD_NANOS
+							: this.reportsUntilNanos;
+					applyChanges(rows.changes(), rows.version());
 				}
-				case SimulatedStore.Reply.Failed failed ->
-					this.follower.failed(asked, failed.historyLost(), SimulatedFleet.this.now).ifPresent(this::ask);
+				case SimulatedStore.Response.Failed failed ->
+					this.follower.failed(sent, failed.historyLost(), SimulatedFleet.this.now).ifPresent(this::send);
 			}
 		}
 
-		private void askGateway(long known) {
-			Gateway other = (this.teller != null) ? this.teller : SimulatedFleet.this.gateways
+		private void queryGateway(long otherVersion) {
+			Gateway other = (this.reporter != null) ? this.reporter : SimulatedFleet.this.gateways
 				.get(SimulatedFleet.this.random.nextInt(SimulatedFleet.this.gateways.size()));
-			this.teller = null;
-			boolean answers = !other.killed && other.pausedUntil <= SimulatedFleet.this.now && other.version > known;
-			if (answers) {
-				List<Integer> changes = other.knows.stream().boxed().toList();
+			this.reporter = null;
+			boolean responds = !other.killed && other.pausedUntil <= SimulatedFleet.this.now
+					&& other.version > otherVersion;
+			if (responds) {
+				List<Integer> changes = other.receivedChanges.stream().boxed().toList();
 				long upTo = other.version;
-				at(way(10), () -> takeTable(changes, upTo));
+				at(transitNanos(10), () -> applyTable(changes, upTo));
 			}
 		}
 
-		private void takeTable(List<Integer> changes, long upTo) {
+		private void applyTable(List<Integer> changes, long upTo) {
 			if (!this.killed && upTo >= this.version) {
-				learn(changes, upTo);
+				applyChanges(changes, upTo);
 				this.follower.told(upTo, true, Optional.empty(), SimulatedFleet.this.now);
 			}
 		}
 
-		private void learn(List<Integer> changes, long upTo) {
+		private void applyChanges(List<Integer> changes, long upTo) {
 			for (int change : changes) {
-				if (!this.knows.get(change)) {
-					this.knows.set(change);
-					while (this.learned.size() <= change) {
-						this.learned.add(-1L);
+				if (!this.receivedChanges.get(change)) {
+					this.receivedChanges.set(change);
+					while (this.receivedAtNanos.size() <= change) {
+						this.receivedAtNanos.add(-1L);
 					}
-					this.learned.set(change, SimulatedFleet.this.now);
+					this.receivedAtNanos.set(change, SimulatedFleet.this.now);
 					this.urgent = true;
 				}
 			}
@@ -270,49 +273,49 @@
 
 		// -- reports
 
-		private void tell() {
-			this.toldNanos = SimulatedFleet.this.now;
+		private void sendReports() {
+			this.lastReportNanos = SimulatedFleet.this.now;
 			this.urgent = false;
 			this.number++;
 			boolean reads = this.follower.isReading(SimulatedFleet.this.now);
-			boolean tells = reads || this.firstHandUntil > SimulatedFleet.this.now;
-			Optional<News> news = tells ? Optional.of(news()) : Optional.empty();
+			boolean reports = reads || this.reportsUntilNanos > SimulatedFleet.this.now;
+			Optional<TableUpdate> update = reports ? Optional.of(tableUpdate()) : Optional.empty();
 			Report report = new Report(name(), this.index + 1, this.number, false, 0, reads, Optional.empty());
 			for (Gateway other : SimulatedFleet.this.gateways) {
-				boolean lost = this.mute || other.deaf
+				boolean lost = this.sendsNoReports || other.receivesNoReports
 						|| SimulatedFleet.this.random.nextDouble() < SimulatedFleet.this.loss;
 				if (other != this && !lost) {
-					at(way(50), () -> other.waiting.add(new Heard(this, report, news)));
+					at(transitNanos(50), () -> other.receivedReports.add(new ReceivedReport(this, report, update)));
 				}
 			}
 		}
 
-		private News news() {
-			this.told.add(this.version);
-			long since = this.told.get(Math.max(0, this.told.size() - 1 - TIMES_TOLD));
-			List<Integer> changes = this.knows.stream()
+		private TableUpdate tableUpdate() {
+			this.reportedVersions.add(this.version);
+			long since = this.reportedVersions.get(Math.max(0, this.reportedVersions.size() - 1 - REPORTS_PER_CHANGE));
+			List<Integer> changes = this.receivedChanges.stream()
 				.filter((change) -> SimulatedStore.version(change) > since)
 				.boxed()
 				.toList();
-			boolean omitted = changes.size() > FITTING;
-			return new News(this.version, since, omitted ? List.of() : changes, omitted,
+			boolean omitted = changes.size() > MAX_CHANGES_PER_REPORT;
+			return new TableUpdate(this.version, since, omitted ? List.of() : changes, omitted,
 					this.follower.ownAgeNanos(SimulatedFleet.this.now).orElse(-1));
 		}
 
-		private void take(Heard heard) {
-			if (this.fleet.heard(heard.report, SimulatedFleet.this.now) == Fleet.Hearing.LATE) {
+		private void processReport(ReceivedReport received) {
+			if (this.fleet.heard(received.report, SimulatedFleet.this.now) == Fleet.Hearing.LATE) {
 				return;
 			}
-			heard.news.ifPresent((news) -> {
-				boolean follows = !news.omitted && news.since <= this.version;
+			received.update.ifPresent((update) -> {
+				boolean follows = !update.omitted && update.since <= this.version;
 				if (follows) {
-					learn(news.changes, news.version);
+					applyChanges(update.changes, update.version);
 				}
-				boolean whole = follows || news.version <= this.version;
-				Optional<Long> proven = (news.ageNanos < 0) ? Optional.empty()
-						: Optional.of(SimulatedFleet.this.now - news.ageNanos);
-				this.follower.told(news.version, whole, proven, SimulatedFleet.this.now);
-				this.teller = whole ? this.teller : heard.from;
+				boolean complete = follows || update.version <= this.version;
+				Optional<Long> confirmedNanos = (update.ageNanos < 0) ? Optional.empty()
+						: Optional.of(SimulatedFleet.this.now - update.ageNanos);
+				this.follower.told(update.version, complete, confirmedNanos, SimulatedFleet.this.now);
+				this.reporter = complete ? this.reporter : received.from;
 			});
 		}
 
@@ -328,10 +331,10 @@
 
 	}
 
-	private record Heard(Gateway from, Report report, Optional<News> news) {
+	private record ReceivedReport(Gateway from, Report report, Optional<TableUpdate> update) {
 	}
 
-	private record News(long version, long since, List<Integer> changes, boolean omitted, long ageNanos) {
+	private record TableUpdate(long version, long since, List<Integer> changes, boolean omitted, long ageNanos) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleetTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleetTests.java
@@ -20,83 +20,83 @@
 	private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
 	/** By then the gateways know one another, and a few read for all. */
-	private static final long SETTLED = 5 * SECOND;
+	private static final long SETTLED_NANOS = 5 * SECOND;
 
 	// Guards against a local copy that is out of date and does not appear so: each
 	// fault hides changes from the gateways that wait for them, while all other
 	// connections work.
 	@ParameterizedTest
 	@CsvSource({ "9, 2000, 20", "68, 2000, 3", "87, 2000, 2", "87, 3000, 2" })
-	void shouldLearnOfLeavingServersInTimeUnderFaults(int count, long boundMillis, int seeds) {
-		assertInTime(count, boundMillis, seeds, EnumSet.allOf(Trouble.class));
+	void shouldReceiveChangesInTimeWhenFaultsOccur(int count, long boundMillis, int seeds) {
+		assertInTime(count, boundMillis, seeds, EnumSet.allOf(Fault.class));
 	}
 
 	@Test
-	void shouldLearnOfLeavingServersInTimeInLargestFleet() {
-		assertInTime(385, 2_000, 1, EnumSet.of(Trouble.FEEDS_FALL_SILENT, Trouble.READERS_KILLED));
+	void shouldReceiveChangesInTimeWhenFleetIsLargest() {
+		assertInTime(385, 2_000, 1, EnumSet.of(Fault.PENDING_FEEDS_UNANSWERED, Fault.READERS_KILLED));
 	}
 
-	private static void assertInTime(int count, long boundMillis, int seeds, Set<Trouble> troubles) {
-		Map<Trouble, Long> worst = new EnumMap<>(Trouble.class);
-		for (Trouble trouble : troubles) {
+	private static void assertInTime(int count, long boundMillis, int seeds, Set<Fault> faults) {
+		Map<Fault, Long> worst = new EnumMap<>(Fault.class);
+		for (Fault fault : faults) {
 			for (int seed = 0; seed < seeds; seed++) {
-				worst.merge(trouble, worstMillis(count, boundMillis, trouble, seed), Math::max);
+				worst.merge(fault, worstMillis(count, boundMillis, fault, seed), Math::max);
 			}
 		}
 		assertThat(worst.values()).as("worst milliseconds at %d gateways: %s", count, worst)
 			.allMatch((millis) -> millis < boundMillis);
 	}
 
-	private static long worstMillis(int count, long boundMillis, Trouble trouble, long seed) {
+	private static long worstMillis(int count, long boundMillis, Fault fault, long seed) {
 		SimulatedFleet fleet = new SimulatedFleet(count, boundMillis, seed);
-		fleet.run(SETTLED);
-		List<Gateway> spared = play(fleet, trouble);
-		return spared.stream().mapToLong(fleet::worstMillis).max().orElseThrow();
+		fleet.run(SETTLED_NANOS);
+		List<Gateway> running = runWithFault(fleet, fault);
+		return running.stream().mapToLong(fleet::worstMillis).max().orElseThrow();
 	}
 
 	// Ten seconds of a fault, while servers leave one at a time and many at a time.
-	private static List<Gateway> play(SimulatedFleet fleet, Trouble trouble) {
-		List<Gateway> spared = begin(fleet, trouble);
+	private static List<Gateway> runWithFault(SimulatedFleet fleet, Fault fault) {
+		List<Gateway> running = injectFault(fleet, fault);
 		for (int i = 0; i < 12; i++) {
-			int together = (fleet.random.nextInt(4) == 0) ? 10 : 1;
+			int changes = (fleet.random.nextInt(4) == 0) ? 10 : 1;
 			fleet.at(fleet.random.nextLong(10 * SECOND), () -> {
-				for (int j = 0; j < together; j++) {
+				for (int j = 0; j < changes; j++) {
 					fleet.change();
 				}
 			});
 		}
-		fleet.run(SETTLED + 15 * SECOND);
-		return spared;
+		fleet.run(SETTLED_NANOS + 15 * SECOND);
+		return running;
 	}
 
-	private static List<Gateway> begin(SimulatedFleet fleet, Trouble trouble) {
+	private static List<Gateway> injectFault(SimulatedFleet fleet, Fault fault) {
 		List<Gateway> readers = fleet.gateways.stream().filter((gateway) -> gateway.role.reads()).toList();
 		List<Gateway> others = fleet.gateways.stream().filter((gateway) -> !readers.contains(gateway)).toList();
 		List<Gateway> third = fleet.gateways.stream().filter((gateway) -> gateway.index % 3 == 0).toList();
-		switch (trouble) {
+		switch (fault) {
 			case NONE -> {
 			}
-			case FEEDS_FALL_SILENT -> fleet.at(fleet.random.nextLong(SECOND), fleet.store::silenceFeeds);
-			case SILENT_TO_READERS -> readers.forEach((gateway) -> fleet.store.silentTo(gateway.index, true));
-			case SILENT_TO_A_THIRD -> third.forEach((gateway) -> fleet.store.silentTo(gateway.index, true));
-			case REFUSES_A_THIRD -> third.forEach((gateway) -> fleet.store.refuses(gateway.index, true));
+			case PENDING_FEEDS_UNANSWERED -> fleet.at(fleet.random.nextLong(SECOND), fleet.store::dropPendingFeeds);
+			case READERS_UNANSWERED -> readers.forEach((gateway) -> fleet.store.unresponsiveTo(gateway.index, true));
+			case THIRD_UNANSWERED -> third.forEach((gateway) -> fleet.store.unresponsiveTo(gateway.index, true));
+			case THIRD_REFUSED -> third.forEach((gateway) -> fleet.store.refuses(gateway.index, true));
 			case HISTORY_DROPPED -> {
-				fleet.at(SECOND, fleet.store::deafFeeds);
+				fleet.at(SECOND, fleet.store::feedsMissChanges);
 				fleet.at(2 * SECOND, fleet.store::dropHistory);
 			}
 			case READERS_KILLED -> readers.forEach((gateway) -> gateway.killed = true);
 			case READERS_PAUSED -> readers.forEach((gateway) -> gateway.pausedUntil = fleet.now() + 4 * SECOND);
-			case READERS_MUTE -> readers.forEach((gateway) -> gateway.mute = true);
-			case READERS_DEAF -> readers.forEach((gateway) -> gateway.deaf = true);
-			case LOSSY -> fleet.loss = 0.2;
+			case READERS_SEND_NO_REPORTS -> readers.forEach((gateway) -> gateway.sendsNoReports = true);
+			case READERS_RECEIVE_NO_REPORTS -> readers.forEach((gateway) -> gateway.receivesNoReports = true);
+			case REPORT_LOSS -> fleet.loss = 0.2;
 		}
-		return (trouble == Trouble.READERS_KILLED || trouble == Trouble.READERS_PAUSED) ? others : fleet.gateways;
+		return (fault == Fault.READERS_KILLED || fault == Fault.READERS_PAUSED) ? others : fleet.gateways;
 	}
 
-	private enum Trouble {
+	private enum Fault {
 
-		NONE, FEEDS_FALL_SILENT, SILENT_TO_READERS, SILENT_TO_A_THIRD, REFUSES_A_THIRD, HISTORY_DROPPED, READERS_KILLED,
-		READERS_PAUSED, READERS_MUTE, READERS_DEAF, LOSSY
+		NONE, PENDING_FEEDS_UNANSWERED, READERS_UNANSWERED, THIRD_UNANSWERED, THIRD_REFUSED, HISTORY_DROPPED,
+		READERS_KILLED, READERS_PAUSED, READERS_SEND_NO_REPORTS, READERS_RECEIVE_NO_REPORTS, REPORT_LOSS
 
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedStore.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedStore.java
@@ -17,29 +17,29 @@
 
 	private final List<Long> changedAt = new ArrayList<>();
 
-	private final Map<Asked, Waiting> feeds = new HashMap<>();
+	private final Map<Asked, PendingQuery> feeds = new HashMap<>();
 
 	/** The queries that received no response. */
 	private final Set<Asked> unanswered = new HashSet<>();
 
-	private final Set<Integer> silentTo = new HashSet<>();
+	private final Set<Integer> unresponsiveTo = new HashSet<>();
 
 	private final Set<Integer> refused = new HashSet<>();
 
 	/** The first change that is kept in the history. */
-	private int keptFrom;
+	private int historyStart;
 
 	/** Whether pending queries for changes receive none. */
-	private boolean deafFeeds;
+	private boolean feedsMissChanges;
 
-	private int calls;
+	private int queries;
 
 	// -- called by the tests
 
 	void change(long nowNanos) {
 		this.changedAt.add(nowNanos);
-		if (!this.deafFeeds) {
-			List.copyOf(this.feeds.values()).forEach(this::answerFeed);
+		if (!this.feedsMissChanges) {
+			List.copyOf(this.feeds.values()).forEach(this::respondToFeed);
 		}
 	}
 
@@ -51,46 +51,46 @@
 		return this.changedAt.get(change);
 	}
 
-	int calls() {
-		return this.calls;
+	int queries() {
+		return this.queries;
 	}
 
 	/** Never responds to the pending queries for changes; new ones receive a response. */
-	void silenceFeeds() {
+	void dropPendingFeeds() {
 		this.unanswered.addAll(this.feeds.keySet());
 		this.feeds.clear();
 	}
 
-	void silentTo(int gateway, boolean now) {
-		set(this.silentTo, gateway, now);
-		if (now) {
-			List<Waiting> lost = this.feeds.values().stream().filter((feed) -> feed.gateway == gateway).toList();
+	void unresponsiveTo(int gateway, boolean enabled) {
+		set(this.unresponsiveTo, gateway, enabled);
+		if (enabled) {
+			List<PendingQuery> lost = this.feeds.values().stream().filter((feed) -> feed.gateway == gateway).toList();
 			lost.forEach((feed) -> {
-				this.unanswered.add(feed.asked);
-				this.feeds.remove(feed.asked);
+				this.unanswered.add(feed.sent);
+				this.feeds.remove(feed.sent);
 			});
 		}
 	}
 
-	void refuses(int gateway, boolean now) {
-		set(this.refused, gateway, now);
+	void refuses(int gateway, boolean enabled) {
+		set(this.refused, gateway, enabled);
 	}
 
-	void deafFeeds() {
-		this.deafFeeds = true;
+	void feedsMissChanges() {
+		this.feedsMissChanges = true;
 	}
 
 	/** Drops the history and closes the pending queries for changes. */
 	void dropHistory() {
-		this.deafFeeds = false;
-		this.keptFrom = this.changedAt.size();
-		List<Waiting> cut = List.copyOf(this.feeds.values());
+		this.feedsMissChanges = false;
+		this.historyStart = this.changedAt.size();
+		List<PendingQuery> cut = List.copyOf(this.feeds.values());
 		this.feeds.clear();
-		cut.forEach((feed) -> feed.reply.accept(new Reply.Failed(false)));
+		cut.forEach((feed) -> feed.receiver.accept(new Response.Failed(false)));
 	}
 
-	private static void set(Set<Integer> gateways, int gateway, boolean now) {
-		if (now) {
+	private static void set(Set<Integer> gateways, int gateway, boolean enabled) {
+		if (enabled) {
 			gateways.add(gateway);
 		}
 		else {
@@ -100,29 +100,29 @@
 
 	// -- called by the gateways
 
-	void ask(int gateway, Asked asked, long nowNanos, Consumer<Reply> reply) {
-		this.calls++;
-		if (this.silentTo.contains(gateway)) {
-			this.unanswered.add(asked);
+	void query(int gateway, Asked sent, long nowNanos, Consumer<Response> receiver) {
+		this.queries++;
+		if (this.unresponsiveTo.contains(gateway)) {
+			this.unanswered.add(sent);
 		}
 		else if (this.refused.contains(gateway)) {
-			reply.accept(new Reply.Failed(false));
+			receiver.accept(new Response.Failed(false));
 		}
 		else {
-			answer(new Waiting(gateway, asked, reply));
+			respond(new PendingQuery(gateway, sent, receiver));
 		}
 	}
 
-	private void answer(Waiting waiting) {
-		switch (waiting.asked.question()) {
-			case Question.Whole _ -> waiting.reply.accept(rows(0));
-			case Question.Check check -> changesSince(check.since(), waiting);
+	private void respond(PendingQuery pending) {
+		switch (pending.sent.question()) {
+			case Question.Whole _ -> pending.receiver.accept(rows(0));
+			case Question.Check check -> changesSince(check.since(), pending);
 			case Question.Feed feed -> {
-				if (version(this.changedAt.size() - 1) > feed.since() && !this.deafFeeds) {
-					changesSince(feed.since(), waiting);
+				if (version(this.changedAt.size() - 1) > feed.since() && !this.feedsMissChanges) {
+					changesSince(feed.since(), pending);
 				}
 				else {
-					this.feeds.put(waiting.asked, waiting);
+					this.feeds.put(pending.sent, pending);
 				}
 			}
 			case Question.OfGateway _ ->
@@ -130,35 +130,35 @@
 		}
 	}
 
-	private void answerFeed(Waiting feed) {
-		this.feeds.remove(feed.asked);
-		answer(feed);
+	private void respondToFeed(PendingQuery feed) {
+		this.feeds.remove(feed.sent);
+		respond(feed);
 	}
 
-	private void changesSince(long since, Waiting waiting) {
-		boolean lost = since < version(this.keptFrom - 1);
-		waiting.reply.accept(lost ? new Reply.Failed(true) : rows(since));
+	private void changesSince(long since, PendingQuery pending) {
+		boolean lost = since < version(this.historyStart - 1);
+		pending.receiver.accept(lost ? new Response.Failed(true) : rows(since));
 	}
 
-	private Reply.Rows rows(long since) {
+	private Response.Rows rows(long since) {
 		List<Integer> changes = IntStream.range(0, this.changedAt.size())
 			.filter((change) -> version(change) > since)
 			.boxed()
 			.toList();
-		return new Reply.Rows(changes, version(this.changedAt.size() - 1));
+		return new Response.Rows(changes, version(this.changedAt.size() - 1));
 	}
 
 	/**
 	 * Ends the wait for a response.
-	 * @param asked the query
+	 * @param sent the query
 	 * @return what the sender of the query receives, empty if it had a response
 	 */
-	Optional<Reply> unanswered(Asked asked) {
-		boolean waits = this.feeds.remove(asked) != null;
-		if (waits) {
+	Optional<Response> unanswered(Asked sent) {
+		boolean waiting = this.feeds.remove(sent) != null;
+		if (waiting) {
 			return Optional.of(rows(Long.MAX_VALUE));
 		}
-		return this.unanswered.remove(asked) ? Optional.of(new Reply.Failed(false)) : Optional.empty();
+		return this.unanswered.remove(sent) ? Optional.of(new Response.Failed(false)) : Optional.empty();
 	}
 
 	/**
@@ -171,7 +171,7 @@
 	}
 
 	/** The result of a query. */
-	sealed interface Reply {
+	sealed interface Response {
 
 		/**
 		 * A response with rows.
@@ -179,7 +179,7 @@
 		 * @param changes the changes that the rows show
 		 * @param version the version of the store
 		 */
-		record Rows(List<Integer> changes, long version) implements Reply {
+		record Rows(List<Integer> changes, long version) implements Response {
 		}
 
 		/**
@@ -188,12 +188,12 @@
 		 * @param historyLost whether the history does not reach back to the queried
 		 * version
 		 */
-		record Failed(boolean historyLost) implements Reply {
+		record Failed(boolean historyLost) implements Response {
 		}
 
 	}
 
-	private record Waiting(int gateway, Asked asked, Consumer<Reply> reply) {
+	private record PendingQuery(int gateway, Asked sent, Consumer<Response> receiver) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/TableFollowerTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/TableFollowerTests.java
@@ -19,9 +19,9 @@
 
 	private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
-	private static final long OUTAGE = 2_400 * MILLI;
+	private static final long OUTAGE_NANOS = 2_400 * MILLI;
 
-	private final Freshness freshness = Freshness.unproven(OUTAGE);
+	private final Freshness freshness = Freshness.unproven(OUTAGE_NANOS);
 
 	private final TableFollower follower = TableFollower.of(this.freshness, FreshnessLimits.usual(), () -> 0.5);
 
@@ -39,14 +39,14 @@
 	// -- queries
 
 	@Test
-	void shouldWaitForChangesBehindWhatItKnows() {
+	void shouldQueryChangesAfterLocalVersion() {
 		assertThat(this.feed.question()).isEqualTo(new Question.Feed(10, TimeUnit.SECONDS.toNanos(20)));
 		assertThat(this.follower.tick(Role.FIRST, 100 * MILLI)).isEmpty();
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "FIRST, 500", "STAND_BY, 800", "RESTING, 1175" })
-	void shouldCheckWhenNothingIsProvenForTooLong(Role role, long limitMillis) {
+	void shouldCheckWhenLastConfirmationIsTooOld(Role role, long limitMillis) {
 		assertThat(this.follower.tick(role, (limitMillis - 1) * MILLI)).isEmpty();
 		Asked check = only(Question.Check.class, this.follower.tick(role, limitMillis * MILLI));
 		assertThat(check.question()).isEqualTo(new Question.Check(10));
@@ -63,14 +63,14 @@
 	}
 
 	@Test
-	void shouldNotCheckWhenReportProvesTheTable() {
+	void shouldNotCheckWhenReportConfirmsTheTable() {
 		this.follower.told(10, true, Optional.of(1_000 * MILLI), 1_100 * MILLI);
 		assertThat(this.follower.tick(Role.RESTING, 1_200 * MILLI)).isEmpty();
 		assertThat(this.freshness.source()).isEqualTo(Source.REPORT);
 	}
 
 	@Test
-	void shouldCheckWhenChangesWereNotToldWhole() {
+	void shouldCheckWhenReportedChangesAreIncomplete() {
 		this.follower.told(12, false, Optional.of(100 * MILLI), 100 * MILLI);
 		only(Question.Check.class, this.follower.tick(Role.RESTING, 100 * MILLI));
 		assertThat(this.freshness.ageNanos(100 * MILLI)).hasValue(100 * MILLI);
@@ -78,7 +78,7 @@
 
 	// Guards against a store that serves other gateways and not this one.
 	@Test
-	void shouldAskGatewayThatKnowsMoreWhenStoreDoesNotAnswer() {
+	void shouldQueryGatewayWhenStoreDoesNotRespond() {
 		this.follower.told(12, false, Optional.empty(), 100 * MILLI);
 		only(Question.Check.class, this.follower.tick(Role.RESTING, 100 * MILLI));
 		Asked ofGateway = only(Question.OfGateway.class, this.follower.tick(Role.RESTING, 250 * MILLI));
@@ -92,7 +92,7 @@
 	// Guards against waiting for a response on a connection that carries nothing any
 	// more.
 	@Test
-	void shouldGiveUpFeedWhenCheckFindsWhatItShouldHaveTold() {
+	void shouldAbandonFeedWhenCheckFindsMissedChanges() {
 		Asked check = only(Question.Check.class, this.follower.tick(Role.FIRST, 500 * MILLI));
 		Answer answer = this.follower.answered(check, 11, true, 510 * MILLI);
 		assertThat(answer.lostFeed()).contains(this.feed);
@@ -101,7 +101,7 @@
 	}
 
 	@Test
-	void shouldReadTheWholeTableWhenFeedBreaksOffOrHistoryIsLost() {
+	void shouldReadWholeTableWhenFeedFailsOrHistoryIsLost() {
 		this.follower.failed(this.feed, false, 100 * MILLI);
 		assertThat(this.follower.tick(Role.FIRST, 199 * MILLI)).isEmpty();
 		Asked whole = only(Question.Whole.class, this.follower.tick(Role.FIRST, 200 * MILLI));
@@ -126,27 +126,27 @@
 	// Guards against noticing the end of an outage only with the next change: a server
 	// that leaves then would be taken for one whose registration expired.
 	@Test
-	void shouldNoticeReturnOfStoreBeforeTheNextChange() {
+	void shouldDetectEndOfOutageBeforeTheNextChange() {
 		long now = 0;
 		this.follower.failed(this.feed, false, now);
 		while (now < 5_000 * MILLI) {
 			now += 50 * MILLI;
 			long failedAt = now;
-			this.follower.tick(Role.FIRST, now).forEach((asked) -> this.follower.failed(asked, false, failedAt));
+			this.follower.tick(Role.FIRST, now).forEach((sent) -> this.follower.failed(sent, false, failedAt));
 		}
 		while (this.freshness.returnedNanos().isEmpty()) {
 			now += 50 * MILLI;
-			long answeredAt = now;
+			long respondedAt = now;
 			this.follower.tick(Role.FIRST, now)
 				.stream()
-				.filter((asked) -> !(asked.question() instanceof Question.OfGateway))
-				.forEach((asked) -> this.follower.answered(asked, 10, false, answeredAt));
+				.filter((sent) -> !(sent.question() instanceof Question.OfGateway))
+				.forEach((sent) -> this.follower.answered(sent, 10, false, respondedAt));
 		}
 		assertThat(now).isLessThanOrEqualTo(5_800 * MILLI);
 	}
 
 	@Test
-	void shouldPauseLongerWithEachFailure() {
+	void shouldBackOffLongerWithEachFailure() {
 		Asked check = only(Question.Check.class, this.follower.tick(Role.FIRST, 500 * MILLI));
 		this.follower.failed(check, false, 500 * MILLI);
 		check = only(Question.Check.class, this.follower.tick(Role.FIRST, 600 * MILLI));
@@ -158,14 +158,14 @@
 	// Guards against a reader that the store no longer serves: other gateways would
 	// rely on it.
 	@Test
-	void shouldNotCountAsReaderOnceStoreFailsIt() {
+	void shouldNotCountAsReaderWhenStoreFails() {
 		assertThat(this.follower.isReading(100 * MILLI)).isTrue();
 		this.follower.failed(this.feed, false, 100 * MILLI);
 		assertThat(this.follower.isReading(100 * MILLI)).isFalse();
 	}
 
 	@Test
-	void shouldKeepItsCalmWhenFeedOfGatewayThatRestsBreaksOff() {
+	void shouldIgnoreFailureWhenGatewayIsResting() {
 		this.follower.tick(Role.RESTING, 100 * MILLI);
 		assertThat(this.follower.failed(this.feed, false, 110 * MILLI)).isEmpty();
 		assertThat(this.follower.isFailing()).isFalse();
@@ -175,10 +175,10 @@
 	// Guards against reporting a confirmation from before the suspension of the VM to
 	// other gateways.
 	@Test
-	void shouldProveNothingToOthersUntilStoreAnswersAgainBehindPause() {
-		Asked asked = only(Question.Check.class, this.follower.tick(Role.FIRST, 500 * MILLI));
+	void shouldConfirmNothingToOthersUntilStoreRespondsAfterPause() {
+		Asked sent = only(Question.Check.class, this.follower.tick(Role.FIRST, 500 * MILLI));
 		this.follower.paused(600 * MILLI);
-		this.follower.answered(asked, 10, false, 610 * MILLI);
+		this.follower.answered(sent, 10, false, 610 * MILLI);
 		this.follower.told(10, true, Optional.of(605 * MILLI), 610 * MILLI);
 		assertThat(this.follower.isReading(610 * MILLI)).isFalse();
 		assertThat(this.follower.ownAgeNanos(610 * MILLI)).isEmpty();
@@ -187,10 +187,10 @@
 		assertThat(this.follower.ownAgeNanos(620 * MILLI)).hasValue(10 * MILLI);
 	}
 
-	private static Asked only(Class<? extends Question> kind, List<Asked> asked) {
-		assertThat(asked).hasSize(1);
-		assertThat(asked.getFirst().question()).isInstanceOf(kind);
-		return asked.getFirst();
+	private static Asked only(Class<? extends Question> kind, List<Asked> sent) {
+		assertThat(sent).hasSize(1);
+		assertThat(sent.getFirst().question()).isInstanceOf(kind);
+		return sent.getFirst();
 	}
 
 }
