--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/fleet/Fleet.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/fleet/Fleet.java
@@ -30,110 +30,110 @@
 public final class Fleet {
 
 	/** The report interval of a gateway in a small fleet, in nanoseconds. */
-	private static final long REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+	private static final long REPORT_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
 	/** The maximum report interval of a gateway, in nanoseconds. */
-	private static final long REPORT_MOST_NANOS = TimeUnit.MILLISECONDS.toNanos(320);
+	private static final long MAX_REPORT_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(320);
 
 	/**
 	 * Up to this number of gateways each reports at the shortest interval. Beyond it the
 	 * interval grows, since the reports that each gateway sends and reads would otherwise
 	 * grow with the fleet.
 	 */
-	private static final int SMALL_FLEET = 40;
+	private static final int SMALL_FLEET_SIZE = 40;
 
 	/** The transit time of a report, including its waits at both ends, in nanoseconds. */
-	private static final long WAY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+	private static final long TRANSIT_TIME_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
 	/**
 	 * The number of report intervals for which a confirmed report counts, in addition to
 	 * the transit time.
 	 */
-	private static final int CONFIRMED_REPORTS = 4;
+	private static final int CONFIRMATION_INTERVALS = 4;
 
 	/**
 	 * The time without a report after which none is confirmed any more, in nanoseconds.
 	 */
-	private static final long UNHEARD_NANOS = TimeUnit.SECONDS.toNanos(1);
+	private static final long CONFIRMATION_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	/**
 	 * The time without a report after which a gateway does not count as live, in
 	 * nanoseconds.
 	 */
-	private static final long SILENT_NANOS = TimeUnit.SECONDS.toNanos(3);
+	private static final long LIVENESS_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
 	/**
 	 * The time without a report after which a gateway counts as removed, in nanoseconds,
 	 * as long as most are still present. Longer than network partitions usually last.
 	 */
-	private static final long GONE_NANOS = TimeUnit.SECONDS.toNanos(30);
+	private static final long REMOVAL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
 	/**
 	 * The time for which gateways may see different groups, in nanoseconds. Each notices
 	 * a change at a different time, up to two reports apart.
 	 */
-	private static final long DIFFER_NANOS = TimeUnit.SECONDS.toNanos(1);
+	private static final long GROUP_CHANGE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	/**
 	 * The number of gateways that is assumed before the table of gateways was read. It is
 	 * more than the observed deployments have, so that limits divided by it are not
 	 * exceeded many times over.
 	 */
-	private static final int UNKNOWN = 128;
+	private static final int ASSUMED_GATEWAYS = 128;
 
 	/**
 	 * The fraction of all gateways from which on a group counts as agreed even if its
 	 * members see different groups: few gateways are then in one group and not in
 	 * another.
 	 */
-	private static final double NEARLY_ALL = 0.9;
+	private static final double AGREED_FRACTION = 0.9;
 
 	/**
 	 * The number of gateways that read the store's tables for all; any one of them is
 	 * enough.
 	 */
-	private static final int READERS = 3;
+	private static final int READER_COUNT = 3;
 
 	/**
 	 * The time without a report after which a gateway does not count as a reader of
 	 * tables, in nanoseconds.
 	 */
-	private static final long READER_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+	private static final long READER_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
 	/**
 	 * The number of own reports whose sending times are kept: more than can be confirmed
 	 * late.
 	 */
-	private static final int REMEMBERED = 32;
+	private static final int RETAINED_REPORTS = 32;
 
 	/** The number of earlier starts of a gateway whose reports are recognised as late. */
-	private static final int EARLIER_STARTS = 4;
+	private static final int RETAINED_STARTS = 4;
 
-	private final int self;
+	private final int ownStart;
 
-	private final long[] sentNanos = new long[REMEMBERED];
+	private final long[] sentNanos = new long[RETAINED_REPORTS];
 
 	private final Map<String, Member> members = new HashMap<>();
 
-	private int number;
+	private int lastReportNumber;
 
 	/** Confirmations of own reports up to this number are ignored. */
-	private int forgotten;
+	private int discardedUpTo;
 
-	private boolean known;
+	private boolean membershipKnown;
 
 	/**
 	 * Since when gateways of the group have seen different groups, empty while all see
 	 * the same.
 	 */
-	private OptionalLong differSinceNanos = OptionalLong.empty();
+	private OptionalLong groupsDifferSinceNanos = OptionalLong.empty();
 
 	/**
 	 * Creates a fleet of which only this gateway is known.
 	 * @param self a number that identifies this start of this gateway
 	 */
 	public Fleet(int self) {
-		this.self = self;
+		this.ownStart = self;
 	}
 
 	/**
@@ -150,7 +150,7 @@
 	 * are known.
 	 */
 	public void complete() {
-		this.known = true;
+		this.membershipKnown = true;
 	}
 
 	/**
@@ -160,8 +160,8 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void told(int reportNumber, long nowNanos) {
-		this.number = reportNumber;
-		this.sentNanos[reportNumber % REMEMBERED] = nowNanos;
+		this.lastReportNumber = reportNumber;
+		this.sentNanos[reportNumber % RETAINED_REPORTS] = nowNanos;
 	}
 
 	/**
@@ -175,23 +175,23 @@
 		if (member.isLate(report)) {
 			return Hearing.LATE;
 		}
-		boolean first = !member.heard || member.start != report.start();
-		if (member.heard && first) {
-			member.startedAgain();
+		boolean first = !member.reported || member.start != report.start();
+		if (member.reported && first) {
+			member.recordRestart();
 		}
-		member.heard = true;
-		member.lives = !report.leaving();
+		member.reported = true;
+		member.live = !report.leaving();
 		member.left = report.leaving();
-		member.gone = false;
+		member.removed = false;
 		member.start = report.start();
 		member.number = report.number();
 		member.group = report.group();
 		member.reads = report.reads();
 		member.confirmed = report.confirmed()
-			.filter((confirmation) -> confirmation.start() == this.self)
+			.filter((confirmation) -> confirmation.start() == this.ownStart)
 			.map(Confirmation::number)
 			.orElse(0);
-		member.newsNanos = nowNanos;
+		member.lastReportNanos = nowNanos;
 		return first ? Hearing.FIRST : Hearing.NEWS;
 	}
 
@@ -201,13 +201,14 @@
 	 * @return the gateways that have timed out since the last call
 	 */
 	public List<String> fallenSilent(long nowNanos) {
-		List<String> silent = this.members.entrySet()
+		List<String> unresponsive = this.members.entrySet()
 			.stream()
-			.filter((entry) -> entry.getValue().lives && nowNanos - entry.getValue().newsNanos >= SILENT_NANOS)
+			.filter((entry) -> entry.getValue().live
+					&& nowNanos - entry.getValue().lastReportNanos >= LIVENESS_TIMEOUT_NANOS)
 			.map(Map.Entry::getKey)
 			.toList();
-		silent.forEach((gateway) -> this.members.get(gateway).lives = false);
-		return silent;
+		unresponsive.forEach((gateway) -> this.members.get(gateway).live = false);
+		return unresponsive;
 	}
 
 	/**
@@ -216,7 +217,7 @@
 	 * stopped.
 	 */
 	public void forgetConfirmations() {
-		this.forgotten = this.number;
+		this.discardedUpTo = this.lastReportNumber;
 	}
 
 	/**
@@ -227,7 +228,8 @@
 	 */
 	public Optional<Confirmation> confirmation(String gateway, long nowNanos) {
 		return Optional.ofNullable(this.members.get(gateway))
-			.filter((member) -> member.heard && !member.left && nowNanos - member.newsNanos < UNHEARD_NANOS)
+			.filter((member) -> member.reported && !member.left
+					&& nowNanos - member.lastReportNanos < CONFIRMATION_TIMEOUT_NANOS)
 			.map((member) -> new Confirmation(member.start, member.number));
 	}
 
@@ -237,7 +239,7 @@
 	 * @return true until {@link #fallenSilent} returns the gateway
 	 */
 	public boolean isLiving(String gateway) {
-		return Optional.ofNullable(this.members.get(gateway)).filter((member) -> member.lives).isPresent();
+		return Optional.ofNullable(this.members.get(gateway)).filter((member) -> member.live).isPresent();
 	}
 
 	/**
@@ -245,7 +247,8 @@
 	 * @return the interval in nanoseconds
 	 */
 	public long reportNanos() {
-		return Math.clamp(REPORT_NANOS * (1 + this.members.size()) / SMALL_FLEET, REPORT_NANOS, REPORT_MOST_NANOS);
+		return Math.clamp(REPORT_INTERVAL_NANOS * (1 + this.members.size()) / SMALL_FLEET_SIZE, REPORT_INTERVAL_NANOS,
+				MAX_REPORT_INTERVAL_NANOS);
 	}
 
 	/**
@@ -253,7 +256,7 @@
 	 * @return the number, this gateway included
 	 */
 	public int living() {
-		return 1 + count((member) -> member.lives);
+		return 1 + count((member) -> member.live);
 	}
 
 	/**
@@ -264,9 +267,9 @@
 	 * other
 	 */
 	public int group(long nowNanos) {
-		int sum = mixed(this.self);
+		int sum = mix(this.ownStart);
 		for (Member member : this.members.values()) {
-			sum += isConfirming(member, nowNanos) ? mixed(member.start) : 0;
+			sum += isConfirming(member, nowNanos) ? mix(member.start) : 0;
 		}
 		return sum;
 	}
@@ -277,12 +280,12 @@
 	 * @return the sharing
 	 */
 	public Sharing sharing(long nowNanos) {
-		if (!this.known) {
+		if (!this.membershipKnown) {
 			return Sharing.UNKNOWN;
 		}
 		int group = group(nowNanos);
 		int confirming = 1;
-		int confirmed = this.number;
+		int confirmed = this.lastReportNumber;
 		boolean same = true;
 		for (Member member : this.members.values()) {
 			if (isConfirming(member, nowNanos)) {
@@ -292,7 +295,7 @@
 			}
 		}
 		int serving = Math.max(confirming, serving(nowNanos));
-		boolean agreed = isAgreed(same, nowNanos) || confirming >= NEARLY_ALL * serving;
+		boolean agreed = isAgreed(same, nowNanos) || confirming >= AGREED_FRACTION * serving;
 		return new Sharing(serving, confirming, agreed, confirmed);
 	}
 
@@ -304,52 +307,54 @@
 	 * of gateways was read
 	 */
 	public int serving(long nowNanos) {
-		if (!this.known) {
-			return UNKNOWN;
+		if (!this.membershipKnown) {
+			return ASSUMED_GATEWAYS;
 		}
-		dropGone(nowNanos);
+		removeUnresponsive(nowNanos);
 		return 1 + count(Member::mayServe);
 	}
 
 	private boolean isAgreed(boolean same, long nowNanos) {
 		if (same) {
-			this.differSinceNanos = OptionalLong.empty();
+			this.groupsDifferSinceNanos = OptionalLong.empty();
 		}
-		else if (this.differSinceNanos.isEmpty()) {
-			this.differSinceNanos = OptionalLong.of(nowNanos);
+		else if (this.groupsDifferSinceNanos.isEmpty()) {
+			this.groupsDifferSinceNanos = OptionalLong.of(nowNanos);
 		}
-		return same || nowNanos - this.differSinceNanos.getAsLong() < DIFFER_NANOS;
+		return same || nowNanos - this.groupsDifferSinceNanos.getAsLong() < GROUP_CHANGE_TIMEOUT_NANOS;
 	}
 
 	// A gateway without reports for a long time has terminated, or serves on the other
 	// side of a network partition. Its part of the quotas goes to the others only where
 	// most gateways are still present, and so never on both sides of a partition.
-	private void dropGone(long nowNanos) {
-		int silent = count((member) -> isSilent(member, nowNanos));
-		if (silent > 0 && 2 * silent < count(Member::mayServe) + 1) {
+	private void removeUnresponsive(long nowNanos) {
+		int unresponsive = count((member) -> isUnresponsive(member, nowNanos));
+		if (unresponsive > 0 && 2 * unresponsive < count(Member::mayServe) + 1) {
 			this.members.values()
 				.stream()
-				.filter((member) -> isSilent(member, nowNanos))
-				.forEach((member) -> member.gone = true);
+				.filter((member) -> isUnresponsive(member, nowNanos))
+				.forEach((member) -> member.removed = true);
 		}
 	}
 
-	private static boolean isSilent(Member member, long nowNanos) {
-		return member.mayServe() && nowNanos - member.newsNanos >= GONE_NANOS;
+	private static boolean isUnresponsive(Member member, long nowNanos) {
+		return member.mayServe() && nowNanos - member.lastReportNanos >= REMOVAL_TIMEOUT_NANOS;
 	}
 
-	private int count(Predicate<Member> which) {
-		return (int) this.members.values().stream().filter(which).count();
+	private int count(Predicate<Member> condition) {
+		return (int) this.members.values().stream().filter(condition).count();
 	}
 
 	private boolean isConfirming(Member member, long nowNanos) {
-		boolean remembered = member.confirmed > this.forgotten && this.number - member.confirmed < REMEMBERED;
-		return member.mayServe() && remembered && nowNanos
-				- this.sentNanos[member.confirmed % REMEMBERED] < CONFIRMED_REPORTS * reportNanos() + WAY_NANOS;
+		boolean retained = member.confirmed > this.discardedUpTo
+				&& this.lastReportNumber - member.confirmed < RETAINED_REPORTS;
+		return member.mayServe() && retained && nowNanos
+				- this.sentNanos[member.confirmed % RETAINED_REPORTS] < CONFIRMATION_INTERVALS * reportNanos()
+						+ TRANSIT_TIME_NANOS;
 	}
 
 	// Spreads the bits, so that the sums of different groups differ.
-	private static int mixed(int start) {
+	private static int mix(int start) {
 		int bits = start * 0x9E3779B9;
 		return (bits ^ (bits >>> 15)) * 0x85EBCA6B;
 	}
@@ -363,12 +368,12 @@
 	 * @return the role
 	 */
 	public Role role(String self, long nowNanos) {
-		long own = rank(self);
-		int before = count((member) -> member.reads(nowNanos) && Long.compareUnsigned(member.rank, own) < 0);
-		if (before == 0) {
+		long ownRank = rank(self);
+		int readersBefore = count((member) -> member.reads(nowNanos) && Long.compareUnsigned(member.rank, ownRank) < 0);
+		if (readersBefore == 0) {
 			return Role.FIRST;
 		}
-		return (before < READERS) ? Role.STAND_BY : Role.RESTING;
+		return (readersBefore < READER_COUNT) ? Role.STAND_BY : Role.RESTING;
 	}
 
 	// Orders gateways by hash, so that a name or zone that sorts first does not make a
@@ -474,7 +479,7 @@
 	private static final class Member {
 
 		/** When its last report was received, or when it was added. */
-		private long newsNanos;
+		private long lastReportNanos;
 
 		private int start;
 
@@ -491,44 +496,44 @@
 		private int confirmed;
 
 		/** The starts before the current one. */
-		private final Deque<Integer> earlier = new ArrayDeque<>();
+		private final Deque<Integer> earlierStarts = new ArrayDeque<>();
 
 		/** Whether a report was ever received. */
-		private boolean heard;
+		private boolean reported;
 
 		/** Whether it reported recently and did not leave. */
-		private boolean lives;
+		private boolean live;
 
 		/** Whether it reported that it will send no more reports. */
 		private boolean left;
 
 		/** Whether its reports are missing for so long that it counts as terminated. */
-		private boolean gone;
+		private boolean removed;
 
-		private Member(long rank, long newsNanos) {
+		private Member(long rank, long lastReportNanos) {
 			this.rank = rank;
-			this.newsNanos = newsNanos;
+			this.lastReportNanos = lastReportNanos;
 		}
 
 		private boolean mayServe() {
-			return !this.left && !this.gone;
+			return !this.left && !this.removed;
 		}
 
 		private boolean reads(long nowNanos) {
-			return this.lives && this.reads && nowNanos - this.newsNanos < READER_NANOS;
+			return this.live && this.reads && nowNanos - this.lastReportNanos < READER_TIMEOUT_NANOS;
 		}
 
 		// Detects datagrams that were delayed. A delayed report of an earlier start
 		// would replace the content of a report of the later start.
 		private boolean isLate(Report report) {
-			boolean same = this.heard && this.start == report.start();
-			return this.earlier.contains(report.start()) || (same && report.number() - this.number < 0);
+			boolean same = this.reported && this.start == report.start();
+			return this.earlierStarts.contains(report.start()) || (same && report.number() - this.number < 0);
 		}
 
-		private void startedAgain() {
-			this.earlier.addFirst(this.start);
-			if (this.earlier.size() > EARLIER_STARTS) {
-				this.earlier.removeLast();
+		private void recordRestart() {
+			this.earlierStarts.addFirst(this.start);
+			if (this.earlierStarts.size() > RETAINED_STARTS) {
+				this.earlierStarts.removeLast();
 			}
 		}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/Account.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/Account.java
@@ -26,24 +26,24 @@
 	 * available evenly. It bounds the use that is forgotten when all processes are
 	 * killed.
 	 */
-	private static final double AT_ONCE = 0.2;
+	private static final double BURST_FRACTION = 0.2;
 
 	/**
 	 * A call is small if its units are at most this fraction of the recent average of a
 	 * call.
 	 */
-	private static final double SMALL = 0.1;
+	private static final double SMALL_CALL_FRACTION = 0.1;
 
 	/** The weight of the newest call in the average units of a call. */
-	private static final double USUAL_NEWEST = 0.02;
+	private static final double AVERAGE_WEIGHT = 0.02;
 
 	/** The period over which requested units are summed up, in nanoseconds. */
-	private static final long ASKED_NANOS = TimeUnit.SECONDS.toNanos(1);
+	private static final long REQUEST_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	/**
 	 * The number of calls in a second below which no rise in requests can be determined.
 	 */
-	private static final int FEW_CALLS = 2;
+	private static final int MIN_CALLS_FOR_RISE = 2;
 
 	private final long windowNanos;
 
@@ -51,27 +51,27 @@
 	private final Deque<Slot> slots = new ArrayDeque<>();
 
 	/** The last use reported by each other process. */
-	private final Map<String, Told> others = new HashMap<>();
+	private final Map<String, RemoteUse> remoteUses = new HashMap<>();
 
 	/** The units requested here within the last second. */
-	private final Deque<Slot> asked = new ArrayDeque<>();
+	private final Deque<Slot> requested = new ArrayDeque<>();
 
 	/** The use here that was reported and is not yet confirmed by all other processes. */
-	private final Deque<Reported> reported = new ArrayDeque<>();
+	private final Deque<ReportedUse> unconfirmedUses = new ArrayDeque<>();
 
 	/**
 	 * The units of refused calls, with the times at which their callers were told to
 	 * retry.
 	 */
-	private final Deque<Slot> promised = new ArrayDeque<>();
+	private final Deque<Slot> unitsToRetry = new ArrayDeque<>();
 
-	private double sum;
+	private double usedInWindow;
 
 	/** The units used by this process since it started. */
-	private double own;
+	private double usedHere;
 
 	/** The units of the sum that this process used. */
-	private double ownInWindow;
+	private double usedHereInWindow;
 
 	private double unconfirmed;
 
@@ -79,28 +79,28 @@
 	private double sinceReport;
 
 	/** The units requested here within the last second when the last report was sent. */
-	private double askedThen;
+	private double requestedAtLastReport;
 
 	/** The moving average of the units of a call; 0 before the first call. */
-	private double usual;
+	private double averageUnits;
 
-	private OptionalLong smallNanos = OptionalLong.empty();
+	private OptionalLong lastSmallCallNanos = OptionalLong.empty();
 
 	/** The units available in one burst; below 0 after other processes reported use. */
-	private double level;
+	private double burstLevel;
 
 	/** The maximum of the units available in one burst. */
-	private double atOnce;
+	private double maxBurstLevel;
 
 	/**
 	 * The units that were added to the level for the start of the process; raised when
 	 * more gateways share the quota.
 	 */
-	private double givenAtStart;
+	private double startUnits;
 
 	private double unitsPerNano;
 
-	private long filledNanos;
+	private long refilledNanos;
 
 	/**
 	 * Creates an account without any use.
@@ -109,7 +109,7 @@
 	 */
 	Account(long windowNanos, long startedNanos) {
 		this.windowNanos = windowNanos;
-		this.filledNanos = startedNanos;
+		this.refilledNanos = startedNanos;
 	}
 
 	/**
@@ -118,30 +118,31 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return whether the call is small compared with recent calls
 	 */
-	boolean ask(double units, long nowNanos) {
-		slot(this.asked, nowNanos).units += units;
-		this.usual = (this.usual == 0) ? units : this.usual + USUAL_NEWEST * (units - this.usual);
-		boolean small = units <= this.usual * SMALL;
+	boolean request(double units, long nowNanos) {
+		slot(this.requested, nowNanos).units += units;
+		this.averageUnits = (this.averageUnits == 0) ? units
+				: this.averageUnits + AVERAGE_WEIGHT * (units - this.averageUnits);
+		boolean small = units <= this.averageUnits * SMALL_CALL_FRACTION;
 		if (small) {
-			this.smallNanos = OptionalLong.of(nowNanos);
+			this.lastSmallCallNanos = OptionalLong.of(nowNanos);
 		}
 		return small;
 	}
 
-	boolean hadSmall(long nowNanos) {
-		return this.smallNanos.isPresent() && nowNanos - this.smallNanos.getAsLong() < this.windowNanos;
+	boolean hadSmallCall(long nowNanos) {
+		return this.lastSmallCallNanos.isPresent() && nowNanos - this.lastSmallCallNanos.getAsLong() < this.windowNanos;
 	}
 
-	private double asked(long nowNanos) {
-		this.asked.removeIf((slot) -> nowNanos - slot.atNanos > ASKED_NANOS);
-		return units(this.asked);
+	private double requested(long nowNanos) {
+		this.requested.removeIf((slot) -> nowNanos - slot.atNanos > REQUEST_PERIOD_NANOS);
+		return units(this.requested);
 	}
 
-	private double askedOfOthers(long nowNanos) {
-		return this.others.values()
+	private double requestedAtOthers(long nowNanos) {
+		return this.remoteUses.values()
 			.stream()
-			.filter((told) -> nowNanos - told.atNanos < ASKED_NANOS)
-			.mapToDouble((told) -> told.use.asked())
+			.filter((remote) -> nowNanos - remote.atNanos < REQUEST_PERIOD_NANOS)
+			.mapToDouble((remote) -> remote.use.asked())
 			.sum();
 	}
 
@@ -158,45 +159,47 @@
 	 * @return the share in units, unconfirmed use included
 	 */
 	double share(double units, double limit, double slack, long nowNanos) {
-		double here = asked(nowNanos);
-		double elsewhere = askedOfOthers(nowNanos);
-		double rise = Math.max(1, here / Math.max(this.askedThen, FEW_CALLS * Math.max(units, this.usual)));
-		double ofWindow = (limit - this.sum + this.unconfirmed + slack) * here / (here + rise * elsewhere);
-		double atOnce = (this.level + this.unconfirmed) * here / (here + elsewhere);
-		return Math.min(ofWindow, atOnce);
+		double requestedHere = requested(nowNanos);
+		double requestedElsewhere = requestedAtOthers(nowNanos);
+		double rise = Math.max(1, requestedHere
+				/ Math.max(this.requestedAtLastReport, MIN_CALLS_FOR_RISE * Math.max(units, this.averageUnits)));
+		double windowShare = (limit - this.usedInWindow + this.unconfirmed + slack) * requestedHere
+				/ (requestedHere + rise * requestedElsewhere);
+		double burstShare = (this.burstLevel + this.unconfirmed) * requestedHere / (requestedHere + requestedElsewhere);
+		return Math.min(windowShare, burstShare);
 	}
 
 	void take(double units, long nowNanos) {
 		add(units, nowNanos);
-		this.slots.getLast().own += units;
-		this.ownInWindow += units;
-		this.own += units;
+		this.slots.getLast().ownUnits += units;
+		this.usedHereInWindow += units;
+		this.usedHere += units;
 		this.sinceReport += units;
 	}
 
 	void giveBack(double units) {
 		remove(units);
-		this.own -= units;
+		this.usedHere -= units;
 	}
 
 	private void add(double units, long nowNanos) {
 		slot(this.slots, nowNanos).units += units;
-		this.level -= units;
-		this.sum += units;
+		this.burstLevel -= units;
+		this.usedInWindow += units;
 	}
 
 	// Begins with the oldest slots, since the returned units were counted in them or
 	// later. Removed from the newest slots, units that were really used would leave the
 	// window too early.
 	private void remove(double units) {
-		this.level += units;
-		double left = units;
-		for (Iterator<Slot> oldest = this.slots.iterator(); left > 0 && oldest.hasNext();) {
+		this.burstLevel += units;
+		double remaining = units;
+		for (Iterator<Slot> oldest = this.slots.iterator(); remaining > 0 && oldest.hasNext();) {
 			Slot slot = oldest.next();
-			double taken = Math.min(left, slot.units);
-			slot.units -= taken;
-			this.sum -= taken;
-			left -= taken;
+			double removed = Math.min(remaining, slot.units);
+			slot.units -= removed;
+			this.usedInWindow -= removed;
+			remaining -= removed;
 		}
 	}
 
@@ -207,27 +210,28 @@
 	void expire(long nowNanos) {
 		while (!this.slots.isEmpty() && nowNanos - this.slots.getFirst().atNanos > this.windowNanos) {
 			Slot old = this.slots.removeFirst();
-			this.sum -= old.units;
-			this.ownInWindow -= old.own;
+			this.usedInWindow -= old.units;
+			this.usedHereInWindow -= old.ownUnits;
 		}
 	}
 
 	/**
 	 * Raises the units available in one burst up to the current time.
 	 * @param window the units that a whole window allows
-	 * @param atStart the fraction of a window that may be used at the start, 0 later
+	 * @param startFraction the fraction of a window that may be used at the start, 0
+	 * later
 	 * @param slack the units that may be used in one burst in addition to the fraction of
 	 * the window
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void fill(double window, double atStart, double slack, long nowNanos) {
-		this.atOnce = window * AT_ONCE + slack;
-		this.level += Math.max(0, window * atStart - this.givenAtStart);
-		this.givenAtStart = Math.max(window * atStart, this.givenAtStart);
+	void refill(double window, double startFraction, double slack, long nowNanos) {
+		this.maxBurstLevel = window * BURST_FRACTION + slack;
+		this.burstLevel += Math.max(0, window * startFraction - this.startUnits);
+		this.startUnits = Math.max(window * startFraction, this.startUnits);
 		this.unitsPerNano = window / this.windowNanos;
-		this.level += this.unitsPerNano * (nowNanos - this.filledNanos);
-		this.level = Math.min(this.atOnce, this.level);
-		this.filledNanos = nowNanos;
+		this.burstLevel += this.unitsPerNano * (nowNanos - this.refilledNanos);
+		this.burstLevel = Math.min(this.maxBurstLevel, this.burstLevel);
+		this.refilledNanos = nowNanos;
 	}
 
 	/**
@@ -236,8 +240,8 @@
 	 * @param units the units
 	 * @return the time in milliseconds, 0 if they are available now
 	 */
-	long evenlyMillis(double units) {
-		double missing = Math.min(units, this.atOnce) - this.level;
+	long burstWaitMillis(double units) {
+		double missing = Math.min(units, this.maxBurstLevel) - this.burstLevel;
 		return (missing > 0) ? Math.max(1, TimeUnit.NANOSECONDS.toMillis((long) (missing / this.unitsPerNano))) : 0;
 	}
 
@@ -247,8 +251,8 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the time in milliseconds, 0 if that is so now
 	 */
-	long windowMillis(double allowed, long nowNanos) {
-		if (this.sum <= allowed) {
+	long windowWaitMillis(double allowed, long nowNanos) {
+		if (this.usedInWindow <= allowed) {
 			return 0;
 		}
 		double used = 0;
@@ -266,15 +270,15 @@
 		return (allowed < 0) ? TimeUnit.NANOSECONDS.toMillis(this.windowNanos) : 0;
 	}
 
-	void promise(double units, long atNanos) {
+	void addRetry(double units, long atNanos) {
 		Slot slot = new Slot(atNanos);
 		slot.units = units;
-		this.promised.addLast(slot);
+		this.unitsToRetry.addLast(slot);
 	}
 
-	double promised(long nowNanos) {
-		this.promised.removeIf((slot) -> slot.atNanos - nowNanos <= 0);
-		return units(this.promised);
+	double unitsToRetry(long nowNanos) {
+		this.unitsToRetry.removeIf((slot) -> slot.atNanos - nowNanos <= 0);
+		return units(this.unitsToRetry);
 	}
 
 	/**
@@ -282,10 +286,10 @@
 	 * @param report the number of the report
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void tell(int report, long nowNanos) {
-		this.askedThen = asked(nowNanos);
+	void reportSent(int report, long nowNanos) {
+		this.requestedAtLastReport = requested(nowNanos);
 		if (this.sinceReport > 0) {
-			this.reported.addLast(new Reported(report, this.sinceReport));
+			this.unconfirmedUses.addLast(new ReportedUse(report, this.sinceReport));
 			this.sinceReport = 0;
 		}
 	}
@@ -294,51 +298,51 @@
 	 * Records that all other processes received the use up to a report.
 	 * @param report the number of the last report that all of them received
 	 */
-	void confirm(int report) {
-		this.reported.removeIf((use) -> use.report <= report);
-		this.unconfirmed = this.sinceReport + this.reported.stream().mapToDouble(Reported::units).sum();
+	void reportConfirmed(int report) {
+		this.unconfirmedUses.removeIf((use) -> use.report <= report);
+		this.unconfirmed = this.sinceReport + this.unconfirmedUses.stream().mapToDouble(ReportedUse::units).sum();
 	}
 
 	/**
 	 * Processes the use reported by another process.
 	 * @param process the name of the process
 	 * @param use the reported use
-	 * @param known whether a report of the process was received before, for this
+	 * @param reportedBefore whether a report of the process was received before, for this
 	 * organisation or another one
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void hear(String process, Use use, boolean known, long nowNanos) {
-		Told before = this.others.put(process, new Told(use, nowNanos));
-		double unheard = known ? 0 : unheard(use);
-		double more = use.units() - ((before != null) ? before.use.units() : unheard);
-		if (more >= 0) {
-			add(more, nowNanos);
+	void reportReceived(String process, Use use, boolean reportedBefore, long nowNanos) {
+		RemoteUse before = this.remoteUses.put(process, new RemoteUse(use, nowNanos));
+		double earlierUnits = reportedBefore ? 0 : unitsBeforeFirstReport(use);
+		double increase = use.units() - ((before != null) ? before.use.units() : earlierUnits);
+		if (increase >= 0) {
+			add(increase, nowNanos);
 		}
 		else {
-			remove(-more);
+			remove(-increase);
 		}
 	}
 
 	// The use before the first report happened at an unknown time, unless the process
 	// has just started.
-	private static double unheard(Use use) {
+	private static double unitsBeforeFirstReport(Use use) {
 		return use.fresh() ? 0 : use.units();
 	}
 
 	Use use(boolean fresh, long nowNanos) {
-		return new Use(this.own, asked(nowNanos), fresh);
+		return new Use(this.usedHere, requested(nowNanos), fresh);
 	}
 
 	/**
 	 * Returns the use of all processes within the window, as far as it is known here.
 	 * @return the units
 	 */
-	double sum() {
-		return this.sum;
+	double usedInWindow() {
+		return this.usedInWindow;
 	}
 
-	double ownInWindow() {
-		return this.ownInWindow;
+	double usedHereInWindow() {
+		return this.usedHereInWindow;
 	}
 
 	/**
@@ -361,11 +365,11 @@
 	}
 
 	/** The last use reported by another process. */
-	private record Told(Use use, long atNanos) {
+	private record RemoteUse(Use use, long atNanos) {
 	}
 
 	/** Use that was included in a report. */
-	private record Reported(int report, double units) {
+	private record ReportedUse(int report, double units) {
 	}
 
 	/** Units used or requested at one time. */
@@ -376,7 +380,7 @@
 		private double units;
 
 		/** The units that this process used. */
-		private double own;
+		private double ownUnits;
 
 		private Slot(long atNanos) {
 			this.atNanos = atNanos;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/QuotaTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/QuotaTable.java
@@ -34,7 +34,7 @@
 	 * are any. All of them together hardly need it, and an overload of large calls leaves
 	 * nothing else.
 	 */
-	private static final double KEPT_FOR_SMALL = 0.03;
+	private static final double SMALL_CALL_RESERVE = 0.03;
 
 	/**
 	 * The fractions of a quota that a process admits by its start and by the end of its
@@ -43,21 +43,21 @@
 	 * immediately, so that it begins above 0. The use right before the kill comes on top,
 	 * so that it ends below 1.
 	 */
-	private static final double AT_START = 0.06;
+	private static final double START_FRACTION = 0.06;
 
-	private static final double FRESH = 0.9;
+	private static final double FIRST_WINDOW_FRACTION = 0.9;
 
 	/**
 	 * The fraction of the slack beyond a quota that is given out. The rest covers the use
 	 * that the processes learn of late.
 	 */
-	private static final double SLACK_PART = 0.5;
+	private static final double SLACK_FRACTION = 0.5;
 
 	/**
 	 * The time after which to retry for units that other processes may be using, in
 	 * milliseconds: they have reported their use by then, two reports later.
 	 */
-	private static final long CONFIRM_MILLIS = 400;
+	private static final long CONFIRMATION_WAIT_MILLIS = 400;
 
 	private final long windowNanos;
 
@@ -69,14 +69,14 @@
 	 * Random numbers from 0 to 1 that decide which process takes the rest of the
 	 * remaining units.
 	 */
-	private final DoubleSupplier draw;
+	private final DoubleSupplier random;
 
 	private Sharing sharing = Sharing.ALONE;
 
 	private final Map<String, Account> accounts = new HashMap<>();
 
 	/** The processes from which a report was received. */
-	private final Set<String> heard = new HashSet<>();
+	private final Set<String> reportingProcesses = new HashSet<>();
 
 	/**
 	 * Creates quotas of which nothing is used.
@@ -84,12 +84,12 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @param slackUnits the units that an organisation may use in a window beyond its
 	 * quota, since processes learn late what the others give out
-	 * @param draw a source of random numbers from 0 to 1
+	 * @param random a source of random numbers from 0 to 1
 	 */
-	public QuotaTable(long windowMillis, long nowNanos, double slackUnits, DoubleSupplier draw) {
+	public QuotaTable(long windowMillis, long nowNanos, double slackUnits, DoubleSupplier random) {
 		this.slackUnits = slackUnits;
 		this.startedNanos = nowNanos;
-		this.draw = draw;
+		this.random = random;
 		this.windowNanos = TimeUnit.MILLISECONDS.toNanos(windowMillis);
 	}
 
@@ -103,27 +103,28 @@
 	public Taking take(Organisation organisation, double units, long nowNanos) {
 		Account account = account(organisation.name());
 		account.expire(nowNanos);
-		account.confirm(this.sharing.confirmed());
-		boolean small = account.ask(units, nowNanos);
+		account.reportConfirmed(this.sharing.confirmed());
+		boolean small = account.request(units, nowNanos);
 		double window = windowUnits(organisation);
-		Wish wish = new Wish(units, small, window, limit(window, nowNanos), slack(organisation));
-		long wait = (organisation.unitsPerSecond() > 0) ? waitMillis(account, wish, nowNanos) : 0;
+		UnitRequest request = new UnitRequest(units, small, window, limit(window, nowNanos), slack(organisation));
+		long wait = (organisation.unitsPerSecond() > 0) ? waitMillis(account, request, nowNanos) : 0;
 		if (wait == 0) {
 			account.take(units, nowNanos);
 		}
-		return new Taking(wait, account.sum(), wish.limit(), account.unconfirmed(), this.sharing);
+		return new Taking(wait, account.usedInWindow(), request.limit(), account.unconfirmed(), this.sharing);
 	}
 
-	private long waitMillis(Account account, Wish wish, long nowNanos) {
-		account.fill(wish.window(), isFresh(nowNanos) ? AT_START : 0, wish.slack(), nowNanos);
-		boolean keeps = !wish.small() && account.hadSmall(nowNanos);
-		double open = wish.limit() - wish.units() - (keeps ? wish.window() * KEPT_FOR_SMALL : 0);
-		long wait = Math.max(windowMillis(account, open, wish, nowNanos), ownPartMillis(account, wish));
-		if (!wish.small()) {
-			wait = Math.max(wait, account.evenlyMillis(wish.units()));
-			wait = Math.max(wait, shareMillis(account, wish, nowNanos));
+	private long waitMillis(Account account, UnitRequest request, long nowNanos) {
+		account.refill(request.window(), isFresh(nowNanos) ? START_FRACTION : 0, request.slack(), nowNanos);
+		boolean reserves = !request.small() && account.hadSmallCall(nowNanos);
+		double allowed = request.limit() - request.units() - (reserves ? request.window() * SMALL_CALL_RESERVE : 0);
+		long wait = Math.max(windowWaitMillis(account, allowed, request, nowNanos),
+				ownPartWaitMillis(account, request));
+		if (!request.small()) {
+			wait = Math.max(wait, account.burstWaitMillis(request.units()));
+			wait = Math.max(wait, shareWaitMillis(account, request, nowNanos));
 		}
-		return (wait > 0) ? promise(account, open, wish, wait, nowNanos) : 0;
+		return (wait > 0) ? retryMillis(account, allowed, request, wait, nowNanos) : 0;
 	}
 
 	// Limits what processes take at the same time. Of the remaining units each process
@@ -131,42 +132,42 @@
 	// share passes with a probability of the share divided by its units. However many
 	// processes there are, together they then take what remains, and not a multiple of
 	// it.
-	private long shareMillis(Account account, Wish wish, long nowNanos) {
-		double units = wish.units();
+	private long shareWaitMillis(Account account, UnitRequest request, long nowNanos) {
+		double units = request.units();
 		if (this.sharing.group() == 1 || units <= 0) {
 			return 0;
 		}
-		double share = account.share(units, wish.limit(), wish.slack(), nowNanos);
+		double share = account.share(units, request.limit(), request.slack(), nowNanos);
 		boolean taken = account.unconfirmed() + units <= share
-				|| this.draw.getAsDouble() * units < share - account.unconfirmed();
-		return taken ? 0 : CONFIRM_MILLIS;
+				|| this.random.getAsDouble() * units < share - account.unconfirmed();
+		return taken ? 0 : CONFIRMATION_WAIT_MILLIS;
 	}
 
 	// Limits groups that overlap, as when one process exchanges reports with two that
 	// receive none from each other. Each of these two would use the part of its group,
 	// and so the common member's part twice. The parts of single processes never
 	// overlap.
-	private long ownPartMillis(Account account, Wish wish) {
-		boolean withinPart = (account.ownInWindow() + wish.units()) * this.sharing.group() <= wish.limit();
-		return (this.sharing.agreed() || withinPart) ? 0 : CONFIRM_MILLIS;
+	private long ownPartWaitMillis(Account account, UnitRequest request) {
+		boolean withinPart = (account.usedHereInWindow() + request.units()) * this.sharing.group() <= request.limit();
+		return (this.sharing.agreed() || withinPart) ? 0 : CONFIRMATION_WAIT_MILLIS;
 	}
 
 	// Returns the time until a refused call finds units for which no other caller was
 	// told to retry. Callers retry once: if all were told the same time, most of them
 	// would find the units taken.
-	private long promise(Account account, double open, Wish wish, long leastMillis, long nowNanos) {
-		double told = account.promised(nowNanos) * this.sharing.group();
-		long wait = Math.max(leastMillis, windowMillis(account, open - told, wish, nowNanos));
-		account.promise(wish.units(), nowNanos + TimeUnit.MILLISECONDS.toNanos(wait));
+	private long retryMillis(Account account, double allowed, UnitRequest request, long minWaitMillis, long nowNanos) {
+		double unitsToRetry = account.unitsToRetry(nowNanos) * this.sharing.group();
+		long wait = Math.max(minWaitMillis, windowWaitMillis(account, allowed - unitsToRetry, request, nowNanos));
+		account.addRetry(request.units(), nowNanos + TimeUnit.MILLISECONDS.toNanos(wait));
 		return wait;
 	}
 
 	/**
 	 * Sets how quotas are shared from now on.
-	 * @param now the sharing; {@link Sharing#ALONE} before the first call
+	 * @param newSharing the sharing; {@link Sharing#ALONE} before the first call
 	 */
-	public void sharing(Sharing now) {
-		this.sharing = now;
+	public void sharing(Sharing newSharing) {
+		this.sharing = newSharing;
 	}
 
 	/**
@@ -175,7 +176,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void told(int report, long nowNanos) {
-		this.accounts.values().forEach((account) -> account.tell(report, nowNanos));
+		this.accounts.values().forEach((account) -> account.reportSent(report, nowNanos));
 	}
 
 	/**
@@ -199,8 +200,8 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void usedByOther(String process, Map<String, Use> uses, long nowNanos) {
-		boolean known = !this.heard.add(process);
-		uses.forEach((organisation, use) -> account(organisation).hear(process, use, known, nowNanos));
+		boolean known = !this.reportingProcesses.add(process);
+		uses.forEach((organisation, use) -> account(organisation).reportReceived(process, use, known, nowNanos));
 	}
 
 	/**
@@ -239,27 +240,27 @@
 	// window again. So most of the quota counts as used at the start.
 	private double limit(double window, long nowNanos) {
 		double known = (nowNanos - this.startedNanos) / (double) this.windowNanos;
-		double part = (known < 1) ? AT_START + (FRESH - AT_START) * known : 1;
-		return part * window;
+		double fraction = (known < 1) ? START_FRACTION + (FIRST_WINDOW_FRACTION - START_FRACTION) * known : 1;
+		return fraction * window;
 	}
 
 	// Returns the time until the use is no more than the open units. In its first
 	// window a process takes into account that the limit grows.
-	private long windowMillis(Account account, double open, Wish wish, long nowNanos) {
-		long wait = account.windowMillis(open, nowNanos);
+	private long windowWaitMillis(Account account, double allowed, UnitRequest request, long nowNanos) {
+		long wait = account.windowWaitMillis(allowed, nowNanos);
 		if (wait == 0 || !isFresh(nowNanos)) {
 			return wait;
 		}
-		double missing = account.sum() - open;
-		double growthPerNano = (FRESH - AT_START) * wish.window() / this.windowNanos;
+		double missing = account.usedInWindow() - allowed;
+		double growthPerNano = (FIRST_WINDOW_FRACTION - START_FRACTION) * request.window() / this.windowNanos;
 		return Math.clamp(TimeUnit.NANOSECONDS.toMillis((long) (missing / growthPerNano)), 1, wait);
 	}
 
 	// The limit of the window is not raised: what is used in one burst counts towards
 	// it.
 	private double slack(Organisation organisation) {
-		boolean counted = organisation.counts() == Organisation.Counts.TOKENS;
-		return counted ? this.sharing.part() * this.slackUnits * SLACK_PART : 0;
+		boolean countsTokens = organisation.counts() == Organisation.Counts.TOKENS;
+		return countsTokens ? this.sharing.part() * this.slackUnits * SLACK_FRACTION : 0;
 	}
 
 	private double windowUnits(Organisation organisation) {
@@ -276,7 +277,7 @@
 	 * @param slack the units that may be used in one burst in addition to those of the
 	 * window
 	 */
-	private record Wish(double units, boolean small, double window, double limit, double slack) {
+	private record UnitRequest(double units, boolean small, double window, double limit, double slack) {
 	}
 
 	/**
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/fleet/FleetTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/fleet/FleetTests.java
@@ -27,7 +27,7 @@
 	private final Fleet fleet = new Fleet(SELF);
 
 	@BeforeEach
-	void find() {
+	void addGateways() {
 		this.fleet.found("gateway-2", 0);
 		this.fleet.found("gateway-3", 0);
 		this.fleet.told(1, 0);
@@ -36,7 +36,7 @@
 	// Guards against a process that starts during an outage of the store and knows no
 	// other gateway: it took itself for the only one and gave out every quota in full.
 	@Test
-	void shouldHaveNoPartBeforeTableOfGatewaysWasRead() {
+	void shouldHaveNoPartWhenTableOfGatewaysWasNotRead() {
 		assertThat(new Fleet(SELF).sharing(0).isKnown()).isFalse();
 		assertThat(new Fleet(SELF).sharing(0).part()).isZero();
 	}
@@ -45,79 +45,79 @@
 	// divided by the number of gateways. If each gateway assumed to be the only one,
 	// each would make as many as all together may.
 	@Test
-	void shouldCountOnManyBeforeTableOfGatewaysWasRead() {
+	void shouldAssumeManyGatewaysWhenTableOfGatewaysWasNotRead() {
 		assertThat(this.fleet.serving(0)).isGreaterThan(100);
 		this.fleet.complete();
 		assertThat(this.fleet.serving(0)).isEqualTo(3);
 	}
 
 	@Test
-	void shouldHaveItsOwnPartBeforeAnyoneConfirms() {
+	void shouldHaveOnlyItsOwnPartWhenNoGatewayConfirms() {
 		this.fleet.complete();
 		assertThat(this.fleet.sharing(0)).isEqualTo(new Sharing(3, 1, true, 1));
 	}
 
 	@Test
-	void shouldShareWithThoseThatConfirm() {
+	void shouldShareWithGatewaysWhenTheyConfirm() {
 		this.fleet.complete();
-		hear(2, 1, 0);
-		hear(3, 1, 0);
+		receive(2, 1, 0);
+		receive(3, 1, 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(3);
 	}
 
 	// Guards against sharing with a gateway whose reports arrive but which receives
 	// none: it admits its own part, so that its reported use must not count as shared.
 	@Test
-	void shouldNotShareWithGatewayThatDoesNotHearThisOne() {
+	void shouldNotShareWithGatewayWhenItDoesNotConfirm() {
 		this.fleet.complete();
-		hear(2, 1, 0);
-		hear(3, 0, 0);
+		receive(2, 1, 0);
+		receive(3, 0, 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(2);
 	}
 
 	// Guards against reports that waited in the socket during a process pause: they all
 	// arrive when the process resumes, and are as old as the pause.
 	@Test
-	void shouldNotShareByReportsThatWaitedInASocket() {
+	void shouldNotShareWhenReportsWaitedInSocket() {
 		this.fleet.complete();
-		hear(2, 1, 4 * SECOND);
+		receive(2, 1, 4 * SECOND);
 		assertThat(this.fleet.sharing(4 * SECOND).group()).isEqualTo(1);
 		this.fleet.told(2, 4 * SECOND);
-		hear(2, 2, 4 * SECOND);
+		receive(2, 2, 4 * SECOND);
 		assertThat(this.fleet.sharing(4 * SECOND).group()).isEqualTo(2);
 	}
 
 	// Guards against reports from before a suspension of the VM: the monotonic clock is
 	// stopped during it, so that they appear recent afterwards.
 	@Test
-	void shouldNotShareByReportsFromBeforeSuspension() {
+	void shouldNotShareWhenReportsAreFromBeforeSuspension() {
 		this.fleet.complete();
 		this.fleet.forgetConfirmations();
-		hear(2, 1, 0);
+		receive(2, 1, 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(1);
 	}
 
 	@Test
-	void shouldNotTakeConfirmationOfItsEarlierStart() {
+	void shouldIgnoreConfirmationWhenItIsOfEarlierStart() {
 		this.fleet.complete();
 		this.fleet.heard(new Report("gateway-2", 2, 1, false, 0, false, Optional.of(new Confirmation(SELF + 1, 1))), 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(1);
 	}
 
 	@Test
-	void shouldConfirmWhatItHeardOfLateOnly() {
-		hear(2, 1, 0);
+	void shouldConfirmOnlyRecentReports() {
+		receive(2, 1, 0);
 		assertThat(this.fleet.confirmation("gateway-2", SECOND / 2)).contains(new Confirmation(2, 1));
 		assertThat(this.fleet.confirmation("gateway-2", 2 * SECOND)).isEmpty();
 		assertThat(this.fleet.confirmation("gateway-3", SECOND / 2)).isEmpty();
 	}
 
 	@Test
-	void shouldNameLastReportThatAllConfirm() {
+	void shouldReturnLastReportThatAllConfirmed() {
 		this.fleet.complete();
 		this.fleet.told(2, SECOND / 4);
-		hear(2, 2, SECOND / 4);
-		hear(3, 1, SECOND / 4);
+		receive(2, 2, SECOND / 4);
+		receive(3, 1, SECOND / 4);
 		assertThat(this.fleet.sharing(SECOND / 4).confirmed()).isEqualTo(1);
 	}
 
@@ -126,37 +126,37 @@
 	// different times, so that a short difference is ignored.
 	@ParameterizedTest
 	@CsvSource({ "0.5, true", "1.2, false" })
-	void shouldSeeWhenGroupsDifferForLong(double seconds, boolean agreed) {
+	void shouldNotAgreeWhenGroupsDifferTooLong(double seconds, boolean agreed) {
 		this.fleet.complete();
-		hear(2, 1, 0);
+		receive(2, 1, 0);
 		this.fleet.sharing(0);
 		long now = (long) (seconds * SECOND);
 		this.fleet.told(2, now);
-		hear(2, 2, now);
+		receive(2, 2, now);
 		assertThat(this.fleet.sharing(now).agreed()).isEqualTo(agreed);
 	}
 
 	@Test
-	void shouldSayWhoWaitsForItsFirstConfirmation() {
-		assertThat(hear(report(2, 1), 0)).isEqualTo(Hearing.FIRST);
-		assertThat(hear(report(2, 2), SECOND)).isEqualTo(Hearing.NEWS);
-		assertThat(hear(report(22, 1), 2 * SECOND)).isEqualTo(Hearing.FIRST);
+	void shouldReturnFirstWhenSenderWaitsForConfirmation() {
+		assertThat(receive(report(2, 1), 0)).isEqualTo(Hearing.FIRST);
+		assertThat(receive(report(2, 2), SECOND)).isEqualTo(Hearing.NEWS);
+		assertThat(receive(report(22, 1), 2 * SECOND)).isEqualTo(Hearing.FIRST);
 	}
 
 	// Guards against a datagram that is delayed and overtaken by later ones.
 	@Test
-	void shouldDropReportThatALaterOneOvertook() {
-		hear(report(2, 5), 0);
-		assertThat(hear(report(2, 4), 0)).isEqualTo(Hearing.LATE);
+	void shouldDropReportWhenLaterOneArrivedBefore() {
+		receive(report(2, 5), 0);
+		assertThat(receive(report(2, 4), 0)).isEqualTo(Hearing.LATE);
 		assertThat(this.fleet.confirmation("gateway-2", 0)).contains(new Confirmation(2, 5));
 	}
 
 	// The response to the first report of a start repeats the last report, with the
 	// confirmation that the sender of the first report waits for.
 	@Test
-	void shouldTakeConfirmationFromRepeatedReport() {
+	void shouldUseConfirmationWhenReportIsRepeated() {
 		this.fleet.complete();
-		hear(report(2, 5), 0);
+		receive(report(2, 5), 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(1);
 		this.fleet.heard(new Report("gateway-2", 2, 5, false, 0, false, Optional.of(new Confirmation(SELF, 1))), 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(2);
@@ -165,27 +165,27 @@
 	// Guards against a report of an earlier start that arrives after a restart of the
 	// gateway: it replaced the content of a report of the later start.
 	@Test
-	void shouldDropReportOfAnEarlierStart() {
-		hear(report(2, 900), 0);
-		hear(report(22, 1), 0);
-		assertThat(hear(report(2, 901), 0)).isEqualTo(Hearing.LATE);
+	void shouldDropReportWhenItIsOfEarlierStart() {
+		receive(report(2, 900), 0);
+		receive(report(22, 1), 0);
+		assertThat(receive(report(2, 901), 0)).isEqualTo(Hearing.LATE);
 		assertThat(this.fleet.confirmation("gateway-2", 0)).contains(new Confirmation(22, 1));
 	}
 
 	@Test
-	void shouldNameSilentGatewayOnceUntilItIsHeardAgain() {
-		hear(report(2, 1), 0);
+	void shouldReturnTimedOutGatewayOnceUntilItReportsAgain() {
+		receive(report(2, 1), 0);
 		assertThat(this.fleet.living()).isEqualTo(2);
 		assertThat(this.fleet.fallenSilent(2 * SECOND)).isEmpty();
 		assertThat(this.fleet.fallenSilent(3 * SECOND)).containsExactly("gateway-2");
 		assertThat(this.fleet.fallenSilent(4 * SECOND)).isEmpty();
 		assertThat(this.fleet.isLiving("gateway-2")).isFalse();
-		hear(report(2, 2), 5 * SECOND);
+		receive(report(2, 2), 5 * SECOND);
 		assertThat(this.fleet.isLiving("gateway-2")).isTrue();
 	}
 
 	@Test
-	void shouldForgetGatewayThatLeft() {
+	void shouldNotCountGatewayWhenItLeft() {
 		this.fleet.complete();
 		this.fleet.heard(new Report("gateway-2", 2, 1, true, 0, false, Optional.empty()), 0);
 		assertThat(this.fleet.serving(0)).isEqualTo(2);
@@ -196,59 +196,61 @@
 	// larger side does.
 	@ParameterizedTest
 	@CsvSource({ "true, 2", "false, 3" })
-	void shouldTakeOverPartOfSilentGatewayOnlyAmongMost(boolean second, int serving) {
+	void shouldTakeOverPartOfUnresponsiveGatewayOnlyWhenMostArePresent(boolean secondReports, int serving) {
 		this.fleet.complete();
-		if (second) {
-			hear(2, 1, 29 * SECOND);
+		if (secondReports) {
+			receive(2, 1, 29 * SECOND);
 		}
 		assertThat(this.fleet.serving(29 * SECOND)).isEqualTo(3);
 		assertThat(this.fleet.serving(31 * SECOND)).isEqualTo(serving);
 	}
 
 	@Test
-	void shouldCountGatewayAgainThatWasTakenForDead() {
+	void shouldCountRemovedGatewayWhenItReportsAgain() {
 		this.fleet.complete();
-		hear(2, 1, 29 * SECOND);
+		receive(2, 1, 29 * SECOND);
 		assertThat(this.fleet.serving(31 * SECOND)).isEqualTo(2);
-		hear(3, 1, 32 * SECOND);
+		receive(3, 1, 32 * SECOND);
 		assertThat(this.fleet.serving(32 * SECOND)).isEqualTo(3);
 	}
 
 	// Three of ten gateways read the store's tables, and all gateways choose the same
 	// three.
 	@Test
-	void shouldCountOnTheSameFewToReadTables() {
+	void shouldChooseTheSameReadersAtAllGateways() {
 		List<String> names = IntStream.range(0, 10).mapToObj((i) -> "gateway-" + i).toList();
-		long reading = names.stream().filter((self) -> heardBy(self, names, true).role(self, 0).reads()).count();
+		long reading = names.stream()
+			.filter((self) -> fleetWithReports(self, names, true).role(self, 0).reads())
+			.count();
 		assertThat(reading).isEqualTo(3);
-		assertThat(names).noneMatch((self) -> heardBy(self, names, false).role(self, 0) == Role.RESTING);
+		assertThat(names).noneMatch((self) -> fleetWithReports(self, names, false).role(self, 0) == Role.RESTING);
 	}
 
 	@Test
-	void shouldReadTablesItselfWhenReadersFallSilent() {
+	void shouldReadTablesWhenReadersAreUnresponsive() {
 		List<String> names = IntStream.range(0, 10).mapToObj((i) -> "gateway-" + i).toList();
 		String self = names.stream()
-			.filter((name) -> heardBy(name, names, true).role(name, 0) == Role.RESTING)
+			.filter((name) -> fleetWithReports(name, names, true).role(name, 0) == Role.RESTING)
 			.findFirst()
 			.orElseThrow();
-		assertThat(heardBy(self, names, true).role(self, SECOND / 2)).isEqualTo(Role.RESTING);
-		assertThat(heardBy(self, names, true).role(self, SECOND).reads()).isTrue();
+		assertThat(fleetWithReports(self, names, true).role(self, SECOND / 2)).isEqualTo(Role.RESTING);
+		assertThat(fleetWithReports(self, names, true).role(self, SECOND).reads()).isTrue();
 	}
 
-	private static Fleet heardBy(String self, List<String> names, boolean reads) {
-		Fleet heard = new Fleet(SELF);
+	private static Fleet fleetWithReports(String self, List<String> names, boolean reads) {
+		Fleet fleet = new Fleet(SELF);
 		names.stream()
 			.filter((name) -> !name.equals(self))
-			.forEach((name) -> heard.heard(new Report(name, name.hashCode(), 1, false, 0, reads, Optional.empty()), 0));
-		return heard;
+			.forEach((name) -> fleet.heard(new Report(name, name.hashCode(), 1, false, 0, reads, Optional.empty()), 0));
+		return fleet;
 	}
 
-	private void hear(int start, int confirmed, long nowNanos) {
+	private void receive(int start, int confirmed, long nowNanos) {
 		this.fleet.heard(new Report("gateway-" + start, start, 1, false, 0, false,
 				Optional.of(new Confirmation(SELF, confirmed))), nowNanos);
 	}
 
-	private Hearing hear(Report report, long nowNanos) {
+	private Hearing receive(Report report, long nowNanos) {
 		return this.fleet.heard(report, nowNanos);
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleet.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleet.java
@@ -25,7 +25,7 @@
 final class QuotaFleet {
 
 	/** A large organisation with long prompts and no slack beyond its quota. */
-	private static final Load LARGE = new Load(1_690_000, 9_000, 0);
+	private static final Load LARGE_ORGANISATION = new Load(1_690_000, 9_000, 0);
 
 	private static final long WINDOW_MILLIS = 8_000;
 
@@ -46,11 +46,11 @@
 	private final List<Gateway> gateways = new ArrayList<>();
 
 	/** The reports in transit, in the order of their arrival. */
-	private final Deque<Telling> underWay = new ArrayDeque<>();
+	private final Deque<ReportInTransit> inTransit = new ArrayDeque<>();
 
-	private final List<Passed> passed = new ArrayList<>();
+	private final List<RecordedCall> admitted = new ArrayList<>();
 
-	private final List<Passed> asked = new ArrayList<>();
+	private final List<RecordedCall> requested = new ArrayList<>();
 
 	private final int count;
 
@@ -71,7 +71,7 @@
 	 * @return the gateways
 	 */
 	static QuotaFleet of(int count, long seed) {
-		return of(count, seed, LARGE);
+		return of(count, seed, LARGE_ORGANISATION);
 	}
 
 	/**
@@ -103,7 +103,7 @@
 			deliver();
 			for (double calls = callsPerMilli; calls > 0; calls--) {
 				if (this.random.nextDouble() < calls) {
-					caller().called(units());
+					randomGateway().processCall(units());
 				}
 			}
 			this.gateways.forEach(Gateway::tick);
@@ -117,7 +117,7 @@
 	 * @param cut whether the link is cut
 	 */
 	void cut(int from, int to, boolean cut) {
-		this.gateways.get(to).deafTo.put(from, cut);
+		this.gateways.get(to).cutLinks.put(from, cut);
 	}
 
 	/**
@@ -140,10 +140,10 @@
 	 * Pauses or resumes a gateway. Its callers continue to call, and are served when it
 	 * resumes.
 	 * @param gateway the gateway
-	 * @param frozen whether it is paused
+	 * @param paused whether it is paused
 	 */
-	void freeze(int gateway, boolean frozen) {
-		this.gateways.get(gateway).freeze(frozen);
+	void pause(int gateway, boolean paused) {
+		this.gateways.get(gateway).pause(paused);
 	}
 
 	/**
@@ -159,7 +159,7 @@
 	 * @param downMillis the time without any process, in milliseconds
 	 */
 	void killAll(long downMillis) {
-		this.gateways.forEach((gateway) -> gateway.freeze(true));
+		this.gateways.forEach((gateway) -> gateway.pause(true));
 		run(downMillis, 0);
 		for (int i = 0; i < this.count; i++) {
 			restart(i);
@@ -180,10 +180,10 @@
 		double worst = 0;
 		double sum = 0;
 		int first = 0;
-		for (Passed use : this.passed) {
+		for (RecordedCall use : this.admitted) {
 			sum += use.units;
-			while (this.passed.get(first).atMillis <= use.atMillis - WINDOW_MILLIS) {
-				sum -= this.passed.get(first++).units;
+			while (this.admitted.get(first).atMillis <= use.atMillis - WINDOW_MILLIS) {
+				sum -= this.admitted.get(first++).units;
 			}
 			worst = Math.max(worst, sum);
 		}
@@ -196,16 +196,19 @@
 	 * @return the use in quotas
 	 */
 	double usedSince(long sinceMillis) {
-		return this.passed.stream().filter((use) -> use.atMillis >= sinceMillis).mapToDouble(Passed::units).sum()
-				/ this.load.quota;
+		return this.admitted.stream()
+			.filter((use) -> use.atMillis >= sinceMillis)
+			.mapToDouble(RecordedCall::units)
+			.sum() / this.load.quota;
 	}
 
 	/**
 	 * Returns the fraction of the requested units that was admitted.
 	 * @return the fraction, from 0 to 1
 	 */
-	double served() {
-		return usedSince(Long.MIN_VALUE) * this.load.quota / this.asked.stream().mapToDouble(Passed::units).sum();
+	double servedFraction() {
+		return usedSince(Long.MIN_VALUE) * this.load.quota
+				/ this.requested.stream().mapToDouble(RecordedCall::units).sum();
 	}
 
 	/**
@@ -213,21 +216,21 @@
 	 * would admit without exceeding the quota in any window.
 	 * @return the ratio, 1 for as much
 	 */
-	double servedOfDue() {
-		double due = 0;
+	double servedOfPermitted() {
+		double permitted = 0;
 		double window = 0;
-		Deque<Passed> inWindow = new ArrayDeque<>();
-		for (Passed call : this.asked) {
+		Deque<RecordedCall> inWindow = new ArrayDeque<>();
+		for (RecordedCall call : this.requested) {
 			while (!inWindow.isEmpty() && inWindow.getFirst().atMillis <= call.atMillis - WINDOW_MILLIS) {
 				window -= inWindow.removeFirst().units;
 			}
 			if (window + call.units <= this.load.quota) {
 				inWindow.addLast(call);
 				window += call.units;
-				due += call.units;
+				permitted += call.units;
 			}
 		}
-		return usedSince(Long.MIN_VALUE) * this.load.quota / due;
+		return usedSince(Long.MIN_VALUE) * this.load.quota / permitted;
 	}
 
 	long nowMillis() {
@@ -236,7 +239,7 @@
 
 	// Callers use some gateways more than others: the first receives three times the
 	// calls of the last.
-	private Gateway caller() {
+	private Gateway randomGateway() {
 		double place = this.random.nextDouble();
 		return this.gateways.get((int) (this.gateways.size() * (0.5 * place + 0.5 * place * place)));
 	}
@@ -246,9 +249,9 @@
 	}
 
 	private void deliver() {
-		while (!this.underWay.isEmpty() && this.underWay.getFirst().arrives <= this.nowMillis) {
-			Telling telling = this.underWay.removeFirst();
-			this.gateways.get(telling.to).heard(telling);
+		while (!this.inTransit.isEmpty() && this.inTransit.getFirst().arrivalMillis <= this.nowMillis) {
+			ReportInTransit delivery = this.inTransit.removeFirst();
+			this.gateways.get(delivery.to).receive(delivery);
 		}
 	}
 
@@ -263,14 +266,14 @@
 
 		private final Fleet fleet;
 
-		private final Map<Integer, Boolean> deafTo = new HashMap<>();
+		private final Map<Integer, Boolean> cutLinks = new HashMap<>();
 
 		/** The tasks that wait until this process resumes. */
 		private final Deque<Runnable> waiting = new ArrayDeque<>();
 
-		private boolean frozen;
+		private boolean paused;
 
-		private long nextTellMillis;
+		private long nextReportMillis;
 
 		private long nextTickMillis;
 
@@ -293,49 +296,49 @@
 				}
 			}
 			this.fleet.complete();
-			this.nextTellMillis = startedMillis + QuotaFleet.this.random.nextInt((int) tellMillis());
+			this.nextReportMillis = startedMillis + QuotaFleet.this.random.nextInt((int) reportIntervalMillis());
 			this.nextTickMillis = startedMillis + QuotaFleet.this.random.nextInt(TICK_MILLIS);
 		}
 
-		private long tellMillis() {
+		private long reportIntervalMillis() {
 			return TimeUnit.NANOSECONDS.toMillis(this.fleet.reportNanos());
 		}
 
-		private void freeze(boolean now) {
-			this.frozen = now;
-			while (!now && !this.waiting.isEmpty()) {
+		private void pause(boolean paused) {
+			this.paused = paused;
+			while (!paused && !this.waiting.isEmpty()) {
 				this.waiting.removeFirst().run();
 			}
 		}
 
-		private void called(double units) {
-			QuotaFleet.this.asked.add(new Passed(QuotaFleet.this.nowMillis, units));
+		private void processCall(double units) {
+			QuotaFleet.this.requested.add(new RecordedCall(QuotaFleet.this.nowMillis, units));
 			whenRunning(() -> {
 				this.table.sharing(this.fleet.sharing(nowNanos()));
 				if (this.table.take(QuotaFleet.this.organisation, units, nowNanos()).waitMillis() == 0) {
-					QuotaFleet.this.passed.add(new Passed(QuotaFleet.this.nowMillis, units));
+					QuotaFleet.this.admitted.add(new RecordedCall(QuotaFleet.this.nowMillis, units));
 				}
 			});
 		}
 
-		private void heard(Telling telling) {
-			if (!this.deafTo.getOrDefault(telling.from, false)) {
+		private void receive(ReportInTransit delivery) {
+			if (!this.cutLinks.getOrDefault(delivery.from, false)) {
 				whenRunning(() -> {
-					Hearing hearing = this.fleet.heard(telling.report, nowNanos());
-					if (hearing == Hearing.LATE) {
+					Hearing status = this.fleet.heard(delivery.report, nowNanos());
+					if (status == Hearing.LATE) {
 						return;
 					}
-					Map<String, Use> uses = telling.use.map((use) -> Map.of("sfax", use)).orElse(Map.of());
-					this.table.usedByOther(telling.process, uses, nowNanos());
-					if (hearing == Hearing.FIRST) {
-						answer(telling.from);
+					Map<String, Use> uses = delivery.use.map((use) -> Map.of("sfax", use)).orElse(Map.of());
+					this.table.usedByOther(delivery.process, uses, nowNanos());
+					if (status == Hearing.FIRST) {
+						repeatReport(delivery.from);
 					}
 				});
 			}
 		}
 
 		private void whenRunning(Runnable task) {
-			if (this.frozen) {
+			if (this.paused) {
 				this.waiting.addLast(task);
 			}
 			else {
@@ -344,18 +347,18 @@
 		}
 
 		private void tick() {
-			if (this.frozen || QuotaFleet.this.nowMillis < this.nextTickMillis) {
+			if (this.paused || QuotaFleet.this.nowMillis < this.nextTickMillis) {
 				return;
 			}
 			this.nextTickMillis = QuotaFleet.this.nowMillis + TICK_MILLIS;
-			if (QuotaFleet.this.nowMillis >= this.nextTellMillis) {
-				this.nextTellMillis = QuotaFleet.this.nowMillis + tellMillis();
+			if (QuotaFleet.this.nowMillis >= this.nextReportMillis) {
+				this.nextReportMillis = QuotaFleet.this.nowMillis + reportIntervalMillis();
 				this.number++;
-				tell();
+				sendReports();
 			}
 		}
 
-		private void tell() {
+		private void sendReports() {
 			this.group = this.fleet.group(nowNanos());
 			this.use = Optional.ofNullable(this.table.used(nowNanos()).get("sfax"));
 			this.table.told(this.number, nowNanos());
@@ -368,9 +371,9 @@
 		}
 
 		// Repeats the last report for a gateway that waits for its confirmation.
-		private void answer(int to) {
+		private void repeatReport(int to) {
 			if (this.number == 0) {
-				this.nextTellMillis = QuotaFleet.this.nowMillis;
+				this.nextReportMillis = QuotaFleet.this.nowMillis;
 			}
 			else {
 				send(to);
@@ -380,7 +383,7 @@
 		private void send(int to) {
 			Report report = new Report("gateway-" + this.index, this.process.hashCode(), this.number, false, this.group,
 					false, this.fleet.confirmation("gateway-" + to, nowNanos()));
-			QuotaFleet.this.underWay.addLast(new Telling(this.index, to, this.process, report, this.use,
+			QuotaFleet.this.inTransit.addLast(new ReportInTransit(this.index, to, this.process, report, this.use,
 					QuotaFleet.this.nowMillis + DELAY_MILLIS));
 		}
 
@@ -401,11 +404,12 @@
 	}
 
 	/** A report in transit. */
-	private record Telling(int from, int to, String process, Report report, Optional<Use> use, long arrives) {
+	private record ReportInTransit(int from, int to, String process, Report report, Optional<Use> use,
+			long arrivalMillis) {
 	}
 
 	/** A call that was requested or admitted. */
-	private record Passed(long atMillis, double units) {
+	private record RecordedCall(long atMillis, double units) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleetTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleetTests.java
@@ -20,65 +20,65 @@
 class QuotaFleetTests {
 
 	/** The limit on the use in a window, in quotas. More than that violates the quota. */
-	private static final double MOST = 1.1;
+	private static final double MAX_USE = 1.1;
 
-	private static final double USUAL = 0.07;
+	private static final double USUAL_LOAD = 0.07;
 
-	private static final double FLOOD = 0.55;
+	private static final double OVERLOAD = 0.55;
 
-	private static final double GREAT_FLOOD = 1.2;
+	private static final double HEAVY_OVERLOAD = 1.2;
 
 	/**
 	 * The fraction of links between gateways that are cut; each removes a pair from the
 	 * group.
 	 */
-	private static final double ONE_WAY_CUTS = 0.03;
+	private static final double CUT_LINKS_FRACTION = 0.03;
 
 	/** Few long prompts a second, each a considerable fraction of the quota. */
-	private static final QuotaFleet.Load SMALL = new QuotaFleet.Load(261_000, 12_000, 140_000);
+	private static final QuotaFleet.Load SMALL_ORGANISATION = new QuotaFleet.Load(261_000, 12_000, 140_000);
 
 	// Guards against each gateway admitting the units that remain of a window, since
 	// reports arrive late.
 	@ParameterizedTest
 	@CsvSource({ "9, 0", "9, 1", "9, 2", "9, 3", "9, 4", "9, 5", "68, 0", "68, 1", "68, 2", "68, 3", "95, 0", "95, 1",
 			"95, 2", "95, 3" })
-	void shouldHoldQuotaInFloodThoughNewsIsLate(int gateways, long seed) {
+	void shouldHoldQuotaWhenReportsAreLate(int gateways, long seed) {
 		QuotaFleet fleet = QuotaFleet.of(gateways, seed);
-		fleet.run(8_000, 1.7 * USUAL);
-		fleet.run(10_000, GREAT_FLOOD);
-		assertThat(fleet.worstWindow()).isLessThan(MOST);
+		fleet.run(8_000, 1.7 * USUAL_LOAD);
+		fleet.run(10_000, HEAVY_OVERLOAD);
+		assertThat(fleet.worstWindow()).isLessThan(MAX_USE);
 	}
 
 	// Guards against gateways that are cut off, receive nothing, are paused or are
 	// restarted: they admit what the others admit as well.
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19 })
-	void shouldHoldQuotaWhateverIsHeard(long seed) {
+	void shouldHoldQuotaWhenGatewaysOrLinksFail(long seed) {
 		Random random = new Random(seed);
 		QuotaFleet fleet = QuotaFleet.of(9, seed);
-		fleet.run(8_000, USUAL);
+		fleet.run(8_000, USUAL_LOAD);
 		for (int fault = 0; fault < 3; fault++) {
-			double asked = (random.nextInt(3) == 0) ? GREAT_FLOOD : FLOOD;
-			fleet.run(random.nextInt(4_000), asked);
-			fault(fleet, random, asked);
+			double load = (random.nextInt(3) == 0) ? HEAVY_OVERLOAD : OVERLOAD;
+			fleet.run(random.nextInt(4_000), load);
+			injectFault(fleet, random, load);
 		}
-		fleet.run(8_000, FLOOD);
-		assertThat(fleet.worstWindow()).isLessThan(MOST);
+		fleet.run(8_000, OVERLOAD);
+		assertThat(fleet.worstWindow()).isLessThan(MAX_USE);
 	}
 
 	// Each gateway of a large fleet reports less often.
 	@ParameterizedTest
 	@CsvSource({ "68, 0", "68, 1", "68, 2", "68, 3", "68, 5", "95, 4", "95, 6", "95, 7" })
-	void shouldHoldQuotaOfLargeFleetWhateverIsHeard(int gateways, long seed) {
+	void shouldHoldQuotaOfLargeFleetWhenGatewaysOrLinksFail(int gateways, long seed) {
 		Random random = new Random(seed);
 		QuotaFleet fleet = QuotaFleet.of(gateways, seed);
-		fleet.run(8_000, USUAL);
+		fleet.run(8_000, USUAL_LOAD);
 		for (int fault = 0; fault < 2; fault++) {
-			fleet.run(random.nextInt(4_000), GREAT_FLOOD);
-			fault(fleet, random, GREAT_FLOOD);
+			fleet.run(random.nextInt(4_000), HEAVY_OVERLOAD);
+			injectFault(fleet, random, HEAVY_OVERLOAD);
 		}
-		fleet.run(4_000, FLOOD);
-		assertThat(fleet.worstWindow()).isLessThan(MOST);
+		fleet.run(4_000, OVERLOAD);
+		assertThat(fleet.worstWindow()).isLessThan(MAX_USE);
 	}
 
 	// Guards against refusing long prompts at all gateways of a large fleet when some
@@ -86,40 +86,40 @@
 	// then sees a different group.
 	@ParameterizedTest
 	@CsvSource({ "87, 0", "87, 1", "87, 2" })
-	void shouldServeLongPromptsWhileSomePairsDoNotHearEachOther(int gateways, long seed) {
-		QuotaFleet fleet = QuotaFleet.of(gateways, seed, SMALL);
-		fleet.run(8_000, USUAL);
-		cutPairs(fleet, new Random(seed), ONE_WAY_CUTS);
-		fleet.run(20_000, USUAL);
-		assertThat(fleet.servedOfDue()).isGreaterThan(1 - 2 * ONE_WAY_CUTS);
+	void shouldServeLongPromptsWhenSomeLinksAreCut(int gateways, long seed) {
+		QuotaFleet fleet = QuotaFleet.of(gateways, seed, SMALL_ORGANISATION);
+		fleet.run(8_000, USUAL_LOAD);
+		cutLinks(fleet, new Random(seed), CUT_LINKS_FRACTION);
+		fleet.run(20_000, USUAL_LOAD);
+		assertThat(fleet.servedOfPermitted()).isGreaterThan(1 - 2 * CUT_LINKS_FRACTION);
 	}
 
 	// Guards against gateways that receive no reports from each other: each gives out
 	// the same units.
 	@ParameterizedTest
 	@CsvSource({ "30, 0", "30, 1", "68, 0", "68, 1", "68, 2", "95, 0", "95, 1" })
-	void shouldHoldQuotaWhileSomePairsDoNotHearEachOther(int gateways, long seed) {
-		for (double part : new double[] { 0.03, 0.08, 0.15 }) {
+	void shouldHoldQuotaWhenSomeLinksAreCut(int gateways, long seed) {
+		for (double fraction : new double[] { 0.03, 0.08, 0.15 }) {
 			QuotaFleet fleet = QuotaFleet.of(gateways, seed);
-			fleet.run(8_000, USUAL);
-			cutPairs(fleet, new Random(seed), part);
-			fleet.run(3_000, USUAL);
-			fleet.run(10_000, GREAT_FLOOD);
-			assertThat(fleet.worstWindow()).as("part " + part).isLessThan(MOST);
+			fleet.run(8_000, USUAL_LOAD);
+			cutLinks(fleet, new Random(seed), fraction);
+			fleet.run(3_000, USUAL_LOAD);
+			fleet.run(10_000, HEAVY_OVERLOAD);
+			assertThat(fleet.worstWindow()).as("part " + fraction).isLessThan(MAX_USE);
 		}
 	}
 
-	private static void cutPairs(QuotaFleet fleet, Random random, double part) {
+	private static void cutLinks(QuotaFleet fleet, Random random, double fraction) {
 		for (int from = 0; from < fleet.gateways(); from++) {
 			for (int to = 0; to < fleet.gateways(); to++) {
-				if (random.nextDouble() < part) {
+				if (random.nextDouble() < fraction) {
 					fleet.cut(from, to, true);
 				}
 			}
 		}
 	}
 
-	static void fault(QuotaFleet fleet, Random random, double asked) {
+	static void injectFault(QuotaFleet fleet, Random random, double load) {
 		int gateways = fleet.gateways();
 		List<Integer> group = IntStream.range(0, gateways).filter((_) -> random.nextInt(3) == 0).boxed().toList();
 		int one = random.nextInt(gateways);
@@ -127,61 +127,61 @@
 		switch (random.nextInt(4)) {
 			case 0 -> {
 				fleet.cutOff(group, true);
-				fleet.run(millis, asked);
+				fleet.run(millis, load);
 				fleet.cutOff(group, false);
 			}
 			case 1 -> {
-				group.forEach((deaf) -> hearsNobody(fleet, deaf, true));
-				fleet.run(millis, asked);
-				group.forEach((deaf) -> hearsNobody(fleet, deaf, false));
+				group.forEach((receiver) -> cutIncomingLinks(fleet, receiver, true));
+				fleet.run(millis, load);
+				group.forEach((receiver) -> cutIncomingLinks(fleet, receiver, false));
 			}
 			case 2 -> {
-				fleet.freeze(one, true);
-				fleet.run(millis, asked);
-				fleet.freeze(one, false);
+				fleet.pause(one, true);
+				fleet.run(millis, load);
+				fleet.pause(one, false);
 			}
 			default -> {
 				fleet.restart(one);
-				fleet.run(millis, asked);
+				fleet.run(millis, load);
 			}
 		}
 	}
 
-	private static void hearsNobody(QuotaFleet fleet, int deaf, boolean cut) {
+	private static void cutIncomingLinks(QuotaFleet fleet, int receiver, boolean cut) {
 		IntStream.range(0, fleet.gateways())
-			.filter((other) -> other != deaf)
-			.forEach((other) -> fleet.cut(other, deaf, cut));
+			.filter((other) -> other != receiver)
+			.forEach((other) -> fleet.cut(other, receiver, cut));
 	}
 
 	// Guards against the kill of all gateways during an overload: they lose the use
 	// within the window.
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 1, 2, 3, 4, 5, 6, 7, 8, 9 })
-	void shouldHoldQuotaOverKillOfAllProcesses(long seed) {
+	void shouldHoldQuotaWhenAllProcessesAreKilled(long seed) {
 		QuotaFleet fleet = QuotaFleet.of(9, seed);
-		fleet.run(8_000, USUAL);
-		fleet.run(400 * (1 + seed), FLOOD);
+		fleet.run(8_000, USUAL_LOAD);
+		fleet.run(400 * (1 + seed), OVERLOAD);
 		fleet.killAll(700);
-		fleet.run(10_000, FLOOD);
-		assertThat(fleet.worstWindow()).isLessThan(MOST);
+		fleet.run(10_000, OVERLOAD);
+		assertThat(fleet.worstWindow()).isLessThan(MAX_USE);
 	}
 
 	// Guards against rules that enforce the quota and refuse calls of an organisation
 	// that stays within it.
 	@ParameterizedTest
 	@CsvSource({ "9, 0", "9, 1", "9, 2", "30, 0", "78, 0", "78, 1" })
-	void shouldRefuseNothingOfUsualUse(int gateways, long seed) {
+	void shouldRefuseNothingWhenUseIsUsual(int gateways, long seed) {
 		QuotaFleet fleet = QuotaFleet.of(gateways, seed);
-		fleet.run(30_000, USUAL);
-		assertThat(fleet.served()).isCloseTo(1, within(1e-9));
+		fleet.run(30_000, USUAL_LOAD);
+		assertThat(fleet.servedFraction()).isCloseTo(1, within(1e-9));
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "9, 0", "9, 1", "78, 0", "78, 1" })
-	void shouldLetFloodHaveTheQuota(int gateways, long seed) {
+	void shouldAdmitQuotaWhenOverloaded(int gateways, long seed) {
 		QuotaFleet fleet = QuotaFleet.of(gateways, seed);
-		fleet.run(8_000, USUAL);
-		fleet.run(16_000, FLOOD);
+		fleet.run(8_000, USUAL_LOAD);
+		fleet.run(16_000, OVERLOAD);
 		assertThat(fleet.usedSince(fleet.nowMillis() - 8_000)).isGreaterThan(0.85);
 	}
 
@@ -189,34 +189,34 @@
 	// most of it is left: a few of them at a time exceed what may be used in one burst.
 	@ParameterizedTest
 	@CsvSource({ "9, 0", "9, 1", "87, 0", "87, 1", "87, 2" })
-	void shouldServeLongPromptsOfSmallOrganisation(int gateways, long seed) {
-		QuotaFleet fleet = QuotaFleet.of(gateways, seed, SMALL);
-		fleet.run(30_000, USUAL);
-		assertThat(fleet.servedOfDue()).isGreaterThan(0.98);
+	void shouldServeLongPromptsWhenQuotaIsSmall(int gateways, long seed) {
+		QuotaFleet fleet = QuotaFleet.of(gateways, seed, SMALL_ORGANISATION);
+		fleet.run(30_000, USUAL_LOAD);
+		assertThat(fleet.servedOfPermitted()).isGreaterThan(0.98);
 	}
 
 	// Guards against each gateway giving out the units beyond the quota: they may be
 	// given out only once.
 	@ParameterizedTest
 	@CsvSource({ "9, 0", "9, 1", "9, 2", "30, 0", "87, 0", "87, 1" })
-	void shouldKeepSmallOrganisationWithinQuotaAndSlack(int gateways, long seed) {
-		QuotaFleet fleet = QuotaFleet.of(gateways, seed, SMALL);
-		fleet.run(8_000, USUAL);
-		fleet.run(3_000, GREAT_FLOOD);
+	void shouldHoldQuotaAndSlackWhenQuotaIsSmall(int gateways, long seed) {
+		QuotaFleet fleet = QuotaFleet.of(gateways, seed, SMALL_ORGANISATION);
+		fleet.run(8_000, USUAL_LOAD);
+		fleet.run(3_000, HEAVY_OVERLOAD);
 		fleet.killAll(700);
-		fleet.run(12_000, GREAT_FLOOD);
-		assertThat(fleet.worstWindow()).isLessThan(MOST + SMALL.slack() / SMALL.quota());
+		fleet.run(12_000, HEAVY_OVERLOAD);
+		assertThat(fleet.worstWindow()).isLessThan(MAX_USE + SMALL_ORGANISATION.slack() / SMALL_ORGANISATION.quota());
 	}
 
 	// Guards against the termination of a gateway: the others refuse permitted calls
 	// until they detect it.
 	@Test
-	void shouldServeUsualUseBesideSilentGateway() {
+	void shouldServeUsualUseWhenOneGatewayIsCutOff() {
 		QuotaFleet fleet = QuotaFleet.of(9, 3);
-		fleet.run(10_000, USUAL);
+		fleet.run(10_000, USUAL_LOAD);
 		fleet.cutOff(List.of(8), true);
-		fleet.run(4_000, USUAL);
-		assertThat(fleet.served()).isGreaterThan(0.98);
+		fleet.run(4_000, USUAL_LOAD);
+		assertThat(fleet.servedFraction()).isGreaterThan(0.98);
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaTableTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaTableTests.java
@@ -29,7 +29,7 @@
 	private final QuotaTable quotas = table(-8 * SECOND);
 
 	@Test
-	void shouldAllowRateTimesWindowAndBurst() {
+	void shouldAllowRateTimesWindowPlusBurst() {
 		double taken = 0;
 		for (long now = 0; now < 8 * SECOND; now += MILLI) {
 			taken += (this.quotas.take(SFAX, 1, now).waitMillis() == 0) ? 1 : 0;
@@ -38,14 +38,14 @@
 	}
 
 	@Test
-	void shouldAllowFifthOfWindowAtOnce() {
+	void shouldAllowFifthOfWindowInOneBurst() {
 		assertThat(this.quotas.take(SFAX, 170, 0).waitMillis()).isZero();
 		assertThat(this.quotas.take(SFAX, 100, 0).waitMillis()).isBetween(930L, 942L);
 		assertThat(this.quotas.take(SFAX, 100, 945 * MILLI).waitMillis()).isZero();
 	}
 
 	@Test
-	void shouldSayWhenUnitsComeFree() {
+	void shouldReturnWaitWhenUnitsAreUsedUp() {
 		for (long second = 0; second < 7; second++) {
 			assertThat(this.quotas.take(SFAX, 106, second * SECOND).waitMillis()).isZero();
 		}
@@ -58,17 +58,17 @@
 	// admits calls before its first report arrives at the others. Taken for use of long
 	// ago, these were never counted.
 	@Test
-	void shouldCountWhatFreshProcessUsedBeforeItWasHeard() {
-		QuotaTable old = table(-8 * SECOND);
-		old.usedByOther("gateway-2", Map.of("sfax", new Use(700, 0, true)), 0);
-		old.usedByOther("gateway-3", Map.of("sfax", new Use(90_000, 0, false)), 0);
-		assertThat(old.take(SFAX, 0, 0).used()).isEqualTo(700);
+	void shouldCountUseBeforeFirstReportWhenProcessHasJustStarted() {
+		QuotaTable running = table(-8 * SECOND);
+		running.usedByOther("gateway-2", Map.of("sfax", new Use(700, 0, true)), 0);
+		running.usedByOther("gateway-3", Map.of("sfax", new Use(90_000, 0, false)), 0);
+		assertThat(running.take(SFAX, 0, 0).used()).isEqualTo(700);
 	}
 
 	// Guards against counting own use only: with callers at nine processes, each sees a
 	// ninth of the use and would admit the whole quota.
 	@Test
-	void shouldCountWhatOtherProcessesTell() {
+	void shouldCountUseThatOtherProcessesReport() {
 		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(9_000, 0, false)), 0);
 		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(9_500, 0, false)), 0);
 		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(9_800, 0, false)), SECOND);
@@ -80,14 +80,14 @@
 	// Processes report only organisations that requested units there; the first call of
 	// another one was taken for old use at all other processes.
 	@Test
-	void shouldCountFirstUseAtProcessThatWasHeardBefore() {
+	void shouldCountFirstUseWhenProcessReportedBefore() {
 		this.quotas.usedByOther("gateway-2", Map.of(), 0);
 		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(500, 0, false)), SECOND);
 		assertThat(this.quotas.take(SFAX, 0, SECOND).used()).isEqualTo(500);
 	}
 
 	@Test
-	void shouldCountEachTellingOnce() {
+	void shouldCountRepeatedReportOnce() {
 		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(0, 0, false)), 0);
 		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(500, 0, false)), 0);
 		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(500, 0, false)), MILLI);
@@ -99,7 +99,7 @@
 	// two hundred units each were refused as well, although all of them together have
 	// the units of a few summaries.
 	@Test
-	void shouldKeepPartOfQuotaForSmallCalls() {
+	void shouldReservePartOfQuotaForSmallCalls() {
 		double summaries = 0;
 		int bookings = 0;
 		for (long now = 0; now < 8 * SECOND; now += 10 * MILLI) {
@@ -113,9 +113,9 @@
 		assertThat(summaries + bookings).isBetween(700.0, 850.0);
 	}
 
-	private int bookings(int asked, long now) {
+	private int bookings(int count, long now) {
 		int taken = 0;
-		for (int i = 0; i < asked; i++) {
+		for (int i = 0; i < count; i++) {
 			taken += (this.quotas.take(SFAX, 1, now).waitMillis() == 0) ? 1 : 0;
 		}
 		return taken;
@@ -125,7 +125,7 @@
 	// time: it was the time at which the units for one become available. Callers retry
 	// once, so that nine of them were refused finally.
 	@Test
-	void shouldTellRefusedCallersTimesOneAfterTheOther() {
+	void shouldReturnIncreasingWaitsWhenSeveralCallersAreRefused() {
 		for (long second = 0; second < 8; second++) {
 			this.quotas.take(SFAX, 103, second * SECOND);
 		}
@@ -139,7 +139,7 @@
 	}
 
 	@Test
-	void shouldExpectEachProcessToRefuseItsPart() {
+	void shouldReturnLongerWaitsWhenOtherProcessesRefuseToo() {
 		this.quotas.sharing(new Sharing(3, 3, true, Integer.MAX_VALUE));
 		for (long second = 0; second < 8; second++) {
 			this.quotas.take(SFAX, 103, second * SECOND);
@@ -150,7 +150,7 @@
 	}
 
 	@Test
-	void shouldGiveBackUnitsOfCallThatDidNotRun() {
+	void shouldGiveBackUnitsWhenCallDidNotRun() {
 		this.quotas.take(SFAX, 170, 0);
 		this.quotas.giveBack("sfax", 100, 0, 0);
 		assertThat(this.quotas.used(0).get("sfax").units()).isEqualTo(70);
@@ -162,7 +162,7 @@
 	// window again with the second in which they were taken, so that later use of the
 	// organisation was admitted twice.
 	@Test
-	void shouldCountWhatRanOnceUnitsOfEarlierCallCameBack() {
+	void shouldHoldQuotaWhenUnitsOfEarlierCallAreGivenBack() {
 		double[] used = new double[16];
 		assertThat(this.quotas.take(SFAX, 160, 0).waitMillis()).isZero();
 		for (int second = 1; second < 16; second++) {
@@ -181,7 +181,7 @@
 	}
 
 	@Test
-	void shouldNotGiveBackWhatHasLeftTheWindow() {
+	void shouldNotGiveBackUnitsWhenTheyHaveLeftTheWindow() {
 		this.quotas.take(SFAX, 100, 0);
 		this.quotas.take(SFAX, 100, 9 * SECOND);
 		this.quotas.giveBack("sfax", 100, 0, 9 * SECOND);
@@ -192,7 +192,7 @@
 	// the others have confirmed its use is no more than its share of the requests at
 	// all.
 	@Test
-	void shouldTakeItsShareOfWhatIsLeftUntilOthersConfirm() {
+	void shouldTakeOnlyItsShareWhenOthersHaveNotConfirmed() {
 		this.quotas.sharing(new Sharing(9, 9, true, 0));
 		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(450, 270, true)), 7 * SECOND);
 		assertThat(takenOfTens(30, 8 * SECOND - MILLI)).isBetween(10, 100);
@@ -213,7 +213,7 @@
 	// that receive none from each other. If each of these took the part of the two
 	// gateways of its group, the part of the middle one would be used twice.
 	@Test
-	void shouldTakePartOfOneGatewayWhereGroupsOverlap() {
+	void shouldTakePartOfOneGatewayWhenGroupsOverlap() {
 		this.quotas.sharing(new Sharing(3, 2, false, Integer.MAX_VALUE));
 		double taken = 0;
 		for (long now = 0; now < 8 * SECOND; now += 10 * MILLI) {
@@ -223,7 +223,7 @@
 	}
 
 	@Test
-	void shouldBindLowerQuotaAtOnce() {
+	void shouldApplyLowerQuotaImmediately() {
 		this.quotas.take(SFAX, 170, 0);
 		assertThat(this.quotas.take(organisation(10), 1, SECOND).waitMillis()).isPositive();
 	}
@@ -231,11 +231,11 @@
 	// Guards against a kill of all processes during an overload: the new ones do not
 	// know the use of the organisation and admitted its whole window a second time.
 	@Test
-	void shouldTakeQuotaAsUsedBeforeTheStart() {
-		QuotaTable fresh = table(0);
+	void shouldCountQuotaAsUsedWhenProcessHasJustStarted() {
+		QuotaTable started = table(0);
 		double taken = 0;
 		for (long now = 0; now <= 4 * SECOND; now += 10 * MILLI) {
-			taken += (fresh.take(SFAX, 5, now).waitMillis() == 0) ? 5 : 0;
+			taken += (started.take(SFAX, 5, now).waitMillis() == 0) ? 5 : 0;
 		}
 		assertThat(taken).isBetween(388.0, 408.0);
 	}
@@ -244,12 +244,12 @@
 	// callers retry immediately, and were told to wait a whole window, as if the quota
 	// was used up. They gave up although the units were available a second later.
 	@Test
-	void shouldTellCallersOfFreshProcessWhenUnitsAreDue() {
-		QuotaTable fresh = table(0);
-		assertThat(fresh.take(SFAX, 40, 100 * MILLI).waitMillis()).isZero();
-		long wait = fresh.take(SFAX, 100, 100 * MILLI).waitMillis();
+	void shouldReturnShortWaitWhenProcessHasJustStarted() {
+		QuotaTable started = table(0);
+		assertThat(started.take(SFAX, 40, 100 * MILLI).waitMillis()).isZero();
+		long wait = started.take(SFAX, 100, 100 * MILLI).waitMillis();
 		assertThat(wait).isBetween(850L, 950L);
-		assertThat(fresh.take(SFAX, 100, (101 + wait) * MILLI).waitMillis()).isZero();
+		assertThat(started.take(SFAX, 100, (101 + wait) * MILLI).waitMillis()).isZero();
 	}
 
 	// Guards against exceeding the quota when three of nine gateways are cut off, each
@@ -281,13 +281,13 @@
 	// organisation without recent use begins to overload them: the use admitted before
 	// the kill and by the new processes must stay within the quota together.
 	@Test
-	void shouldStayWithinQuotaOverKillOfAllProcesses() {
-		double taken = flood(this.quotas, 0, 4_400);
-		taken += flood(table(5_400 * MILLI), 5_400, 8_000);
+	void shouldStayWithinQuotaWhenAllProcessesAreKilled() {
+		double taken = overload(this.quotas, 0, 4_400);
+		taken += overload(table(5_400 * MILLI), 5_400, 8_000);
 		assertThat(taken).isBetween(700.0, 1.1 * 850);
 	}
 
-	private static double flood(QuotaTable table, long fromMillis, long toMillis) {
+	private static double overload(QuotaTable table, long fromMillis, long toMillis) {
 		double taken = 0;
 		for (long now = fromMillis; now < toMillis; now += 5) {
 			taken += (table.take(SFAX, 5, now * MILLI).waitMillis() == 0) ? 5 : 0;
@@ -302,16 +302,16 @@
 
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5 })
-	void shouldNeverPassQuotaInAnyWindow(long seed) {
+	void shouldNeverExceedQuotaInAnyWindow(long seed) {
 		Random random = new Random(seed);
 		long[] times = new long[4_000];
 		double[] units = new double[4_000];
 		int taken = 0;
 		for (long now = 0; now < 60_000 && taken < times.length; now += random.nextInt(40)) {
-			double wish = 1 + random.nextInt(30);
-			if (this.quotas.take(SFAX, wish, now * MILLI).waitMillis() == 0) {
+			double requested = 1 + random.nextInt(30);
+			if (this.quotas.take(SFAX, requested, now * MILLI).waitMillis() == 0) {
 				times[taken] = now;
-				units[taken] = wish;
+				units[taken] = requested;
 				taken++;
 			}
 		}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleet.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleet.java
@@ -237,12 +237,12 @@
 			}
 		}
 
-		private void queryGateway(long otherVersion) {
+		private void queryGateway(long ownVersion) {
 			Gateway other = (this.reporter != null) ? this.reporter : SimulatedFleet.this.gateways
 				.get(SimulatedFleet.this.random.nextInt(SimulatedFleet.this.gateways.size()));
 			this.reporter = null;
 			boolean responds = !other.killed && other.pausedUntil <= SimulatedFleet.this.now
-					&& other.version > otherVersion;
+					&& other.version > ownVersion;
 			if (responds) {
 				List<Integer> changes = other.receivedChanges.stream().boxed().toList();
 				long upTo = other.version;
