--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/fleet/Fleet.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/fleet/Fleet.java
@@ -192,7 +192,7 @@
 			.map(Confirmation::number)
 			.orElse(0);
 		member.lastReportNanos = nowNanos;
-		return first ? Hearing.FIRST : Hearing.NEWS;
+		return first ? Hearing.FIRST : Hearing.CURRENT;
 	}
 
 	/**
@@ -395,7 +395,7 @@
 		 * Not older than the reports received before. The same report may be received
 		 * again with a confirmation.
 		 */
-		NEWS
+		CURRENT
 
 	}
 
@@ -469,7 +469,7 @@
 		 * Returns the fraction of the quotas that is available to the group.
 		 * @return the fraction, from 0 to 1
 		 */
-		public double part() {
+		public double fraction() {
 			return isKnown() ? (double) this.group / this.members : 0;
 		}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/Account.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/Account.java
@@ -70,7 +70,7 @@
 	/** The units used by this process since it started. */
 	private double usedHere;
 
-	/** The units of the sum that this process used. */
+	/** The units within the window that this process used. */
 	private double usedHereInWindow;
 
 	private double unconfirmed;
@@ -216,7 +216,7 @@
 	}
 
 	/**
-	 * Raises the units available in one burst up to the current time.
+	 * Adds the units that have become available in one burst since the last call.
 	 * @param window the units that a whole window allows
 	 * @param startFraction the fraction of a window that may be used at the start, 0
 	 * later
@@ -326,11 +326,11 @@
 	// The use before the first report happened at an unknown time, unless the process
 	// has just started.
 	private static double unitsBeforeFirstReport(Use use) {
-		return use.fresh() ? 0 : use.units();
+		return use.inFirstWindow() ? 0 : use.units();
 	}
 
-	Use use(boolean fresh, long nowNanos) {
-		return new Use(this.usedHere, requested(nowNanos), fresh);
+	Use use(boolean inFirstWindow, long nowNanos) {
+		return new Use(this.usedHere, requested(nowNanos), inFirstWindow);
 	}
 
 	/**
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/QuotaTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/QuotaTable.java
@@ -31,8 +31,8 @@
 
 	/**
 	 * The fraction of a window's quota that only small calls may use, as long as there
-	 * are any. All of them together hardly need it, and an overload of large calls leaves
-	 * nothing else.
+	 * are any. All of them together hardly need it, and an overload of large calls uses
+	 * up the rest.
 	 */
 	private static final double SMALL_CALL_RESERVE = 0.03;
 
@@ -211,10 +211,10 @@
 	 * here
 	 */
 	public Map<String, Use> used(long nowNanos) {
-		boolean fresh = isFresh(nowNanos);
+		boolean inFirstWindow = isFresh(nowNanos);
 		Map<String, Use> used = new HashMap<>();
 		this.accounts.forEach((name, account) -> {
-			Use use = account.use(fresh, nowNanos);
+			Use use = account.use(inFirstWindow, nowNanos);
 			if (use.units() > 0 || use.asked() > 0) {
 				used.put(name, use);
 			}
@@ -244,7 +244,7 @@
 		return fraction * window;
 	}
 
-	// Returns the time until the use is no more than the open units. In its first
+	// Returns the time until the use is no more than the allowed units. In its first
 	// window a process takes into account that the limit grows.
 	private long windowWaitMillis(Account account, double allowed, UnitRequest request, long nowNanos) {
 		long wait = account.windowWaitMillis(allowed, nowNanos);
@@ -260,11 +260,12 @@
 	// it.
 	private double slack(Organisation organisation) {
 		boolean countsTokens = organisation.counts() == Organisation.Counts.TOKENS;
-		return countsTokens ? this.sharing.part() * this.slackUnits * SLACK_FRACTION : 0;
+		return countsTokens ? this.sharing.fraction() * this.slackUnits * SLACK_FRACTION : 0;
 	}
 
 	private double windowUnits(Organisation organisation) {
-		return this.sharing.part() * (organisation.unitsPerSecond() * this.windowNanos / 1e9 + organisation.burst());
+		return this.sharing.fraction()
+				* (organisation.unitsPerSecond() * this.windowNanos / 1e9 + organisation.burst());
 	}
 
 	/**
@@ -300,9 +301,9 @@
 	 * @param units the units used since the process started
 	 * @param asked the units requested there within the last second, including refused
 	 * ones
-	 * @param fresh whether the process started less than a window ago
+	 * @param inFirstWindow whether the process started less than a window ago
 	 */
-	public record Use(double units, double asked, boolean fresh) {
+	public record Use(double units, double asked, boolean inFirstWindow) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/fleet/FleetTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/fleet/FleetTests.java
@@ -38,7 +38,7 @@
 	@Test
 	void shouldHaveNoPartWhenTableOfGatewaysWasNotRead() {
 		assertThat(new Fleet(SELF).sharing(0).isKnown()).isFalse();
-		assertThat(new Fleet(SELF).sharing(0).part()).isZero();
+		assertThat(new Fleet(SELF).sharing(0).fraction()).isZero();
 	}
 
 	// Guards against too many connections to servers and retries, whose limits are
@@ -139,7 +139,7 @@
 	@Test
 	void shouldReturnFirstWhenSenderWaitsForConfirmation() {
 		assertThat(receive(report(2, 1), 0)).isEqualTo(Hearing.FIRST);
-		assertThat(receive(report(2, 2), SECOND)).isEqualTo(Hearing.NEWS);
+		assertThat(receive(report(2, 2), SECOND)).isEqualTo(Hearing.CURRENT);
 		assertThat(receive(report(22, 1), 2 * SECOND)).isEqualTo(Hearing.FIRST);
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleetTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleetTests.java
@@ -105,7 +105,7 @@
 			cutLinks(fleet, new Random(seed), fraction);
 			fleet.run(3_000, USUAL_LOAD);
 			fleet.run(10_000, HEAVY_OVERLOAD);
-			assertThat(fleet.worstWindow()).as("part " + fraction).isLessThan(MAX_USE);
+			assertThat(fleet.worstWindow()).as("part of the links cut: " + fraction).isLessThan(MAX_USE);
 		}
 	}
 
