--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/Account.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/Account.java
@@ -11,234 +11,248 @@
 import org.rosemaryfront.quota.QuotaTable.Use;
 
 /**
- * What one organisation uses and asks for, here and at other processes. It decides
- * nothing: {@link QuotaTable} does.
+ * Records what one organisation uses and requests, at this process and at the others. All
+ * decisions are made by {@link QuotaTable}.
  */
 final class Account {
 
-	/** Uses closer together than this are counted as one, in nanoseconds. */
+	/**
+	 * The length of a slot, in nanoseconds. Uses within one slot are counted together.
+	 */
 	private static final long SLOT_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
 	/**
-	 * The part of a window's quota that may be used at once; the rest comes evenly. It
-	 * bounds what a kill of all processes makes them forget.
+	 * The fraction of a window's quota that may be used in one burst; the rest becomes
+	 * available evenly. It bounds the use that is forgotten when all processes are
+	 * killed.
 	 */
-	private static final double AT_ONCE = 0.2;
+	private static final double BURST_FRACTION = 0.2;
 
-	/** A call is small that counts at most this part of what calls usually do. */
-	private static final double SMALL = 0.1;
+	/**
+	 * A call is small if its units are at most this fraction of the recent average of a
+	 * call.
+	 */
+	private static final double SMALL_CALL_FRACTION = 0.1;
 
-	/** The weight of the newest call in what calls usually count. */
-	private static final double USUAL_NEWEST = 0.02;
+	/** The weight of the newest call in the average units of a call. */
+	private static final double AVERAGE_WEIGHT = 0.02;
 
-	/** Over this time counts what an organisation asks for, in nanoseconds. */
-	private static final long ASKED_NANOS = TimeUnit.SECONDS.toNanos(1);
+	/** The period over which requested units are summed up, in nanoseconds. */
+	private static final long REQUEST_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-	/** Fewer calls than this in a second say nothing of a rise. */
-	private static final int FEW_CALLS = 2;
+	/**
+	 * The number of calls in a second below which no rise in requests can be determined.
+	 */
+	private static final int MIN_CALLS_FOR_RISE = 2;
 
 	private final long windowNanos;
 
-	/** What all used within the window, as far as it is known. */
+	/** The use of all processes within the window, as far as it is known here. */
 	private final Deque<Slot> slots = new ArrayDeque<>();
 
-	/** What each other process told last. */
-	private final Map<String, Told> others = new HashMap<>();
+	/** The last use reported by each other process. */
+	private final Map<String, RemoteUse> remoteUses = new HashMap<>();
 
-	/** What was asked for here within the last second. */
-	private final Deque<Slot> asked = new ArrayDeque<>();
+	/** The units requested here within the last second. */
+	private final Deque<Slot> requested = new ArrayDeque<>();
 
-	/** What was used here and told, as long as not all have confirmed it. */
-	private final Deque<Reported> reported = new ArrayDeque<>();
+	/** The use here that was reported and is not yet confirmed by all other processes. */
+	private final Deque<ReportedUse> unconfirmedUses = new ArrayDeque<>();
 
-	/** Units that callers were told to come back for, with the times told. */
-	private final Deque<Slot> promised = new ArrayDeque<>();
+	/**
+	 * The units of refused calls, with the times at which their callers were told to
+	 * retry.
+	 */
+	private final Deque<Slot> unitsToRetry = new ArrayDeque<>();
 
-	private double sum;
+	private double usedInWindow;
 
-	/** What this process used since it started. */
-	private double own;
+	/** The units used by this process since it started. */
+	private double usedHere;
 
-	/** What of the sum this process used. */
-	private double ownInWindow;
+	/** The units within the window that this process used. */
+	private double usedHereInWindow;
 
 	private double unconfirmed;
 
-	/** What was used here since the last report. */
+	/** The units used here since the last report. */
 	private double sinceReport;
 
-	/** What was asked for here when the last report went out. */
-	private double askedThen;
+	/** The units requested here within the last second when the last report was sent. */
+	private double requestedAtLastReport;
 
-	/** What calls count of late, smoothed; 0 before the first. */
-	private double usual;
+	/** The moving average of the units of a call; 0 before the first call. */
+	private double averageUnits;
 
-	/** When the last small call came. */
-	private OptionalLong smallNanos = OptionalLong.empty();
+	private OptionalLong lastSmallCallNanos = OptionalLong.empty();
 
-	/** What may be used at once; below 0 after news of the use of other processes. */
-	private double level;
+	/** The units available in one burst; below 0 after other processes reported use. */
+	private double burstLevel;
 
-	/** What may be used at once at most. */
-	private double atOnce;
+	/** The maximum of the units available in one burst. */
+	private double maxBurstLevel;
 
-	/** What the start added to that; more once more gateways share the quota. */
-	private double givenAtStart;
+	/**
+	 * The units that were added to the level for the start of the process; raised when
+	 * more gateways share the quota.
+	 */
+	private double startUnits;
 
 	private double unitsPerNano;
 
-	private long filledNanos;
+	private long refilledNanos;
 
 	/**
-	 * An account of which nothing is used.
+	 * Creates an account without any use.
 	 * @param windowNanos the window of quotas, in nanoseconds
 	 * @param startedNanos when the process started
 	 */
 	Account(long windowNanos, long startedNanos) {
 		this.windowNanos = windowNanos;
-		this.filledNanos = startedNanos;
+		this.refilledNanos = startedNanos;
 	}
 
-	// -- asking
-
 	/**
-	 * Notes that a call asks for units.
+	 * Records that a call requests units.
 	 * @param units the units
-	 * @param nowNanos the time
-	 * @return whether it is small among the calls of late
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return whether the call is small compared with recent calls
 	 */
-	boolean ask(double units, long nowNanos) {
-		slot(this.asked, nowNanos).units += units;
-		this.usual = (this.usual == 0) ? units : this.usual + USUAL_NEWEST * (units - this.usual);
-		boolean small = units <= this.usual * SMALL;
+	boolean request(double units, long nowNanos) {
+		slot(this.requested, nowNanos).units += units;
+		this.averageUnits = (this.averageUnits == 0) ? units
+				: this.averageUnits + AVERAGE_WEIGHT * (units - this.averageUnits);
+		boolean small = units <= this.averageUnits * SMALL_CALL_FRACTION;
 		if (small) {
-			this.smallNanos = OptionalLong.of(nowNanos);
+			this.lastSmallCallNanos = OptionalLong.of(nowNanos);
 		}
 		return small;
 	}
 
-	boolean hadSmall(long nowNanos) {
-		return this.smallNanos.isPresent() && nowNanos - this.smallNanos.getAsLong() < this.windowNanos;
+	boolean hadSmallCall(long nowNanos) {
+		return this.lastSmallCallNanos.isPresent() && nowNanos - this.lastSmallCallNanos.getAsLong() < this.windowNanos;
 	}
 
-	private double asked(long nowNanos) {
-		this.asked.removeIf((slot) -> nowNanos - slot.atNanos > ASKED_NANOS);
-		return units(this.asked);
+	private double requested(long nowNanos) {
+		this.requested.removeIf((slot) -> nowNanos - slot.atNanos > REQUEST_PERIOD_NANOS);
+		return units(this.requested);
 	}
 
-	private double askedOfOthers(long nowNanos) {
-		return this.others.values()
+	private double requestedAtOthers(long nowNanos) {
+		return this.remoteUses.values()
 			.stream()
-			.filter((told) -> nowNanos - told.atNanos < ASKED_NANOS)
-			.mapToDouble((told) -> told.use.asked())
+			.filter((remote) -> nowNanos - remote.atNanos < REQUEST_PERIOD_NANOS)
+			.mapToDouble((remote) -> remote.use.asked())
 			.sum();
 	}
 
 	/**
-	 * The part of what is left that is for this process, by what all ask for, as long as
-	 * the others do not know what it takes of it. What they ask for is as old as their
-	 * reports. Of the window's rest it is taken to have risen as it did here, since a
-	 * flood comes to all at once.
-	 * @param units the units asked for
+	 * Returns the share of the remaining units that this process may use, in proportion
+	 * to what all processes request, while the others do not know its use. The requests
+	 * at the others are as old as their reports. For the units that remain of the window
+	 * they are assumed to have risen as they did here, since an overload reaches all
+	 * processes at the same time.
+	 * @param units the units requested
 	 * @param limit the units that the window allows
-	 * @param slack the units that may be used beside the window's
-	 * @param nowNanos the time
-	 * @return the units, those not confirmed included
+	 * @param slack the units that may be used in addition to those of the window
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the share in units, unconfirmed use included
 	 */
 	double share(double units, double limit, double slack, long nowNanos) {
-		double here = asked(nowNanos);
-		double elsewhere = askedOfOthers(nowNanos);
-		double rise = Math.max(1, here / Math.max(this.askedThen, FEW_CALLS * Math.max(units, this.usual)));
-		double ofWindow = (limit - this.sum + this.unconfirmed + slack) * here / (here + rise * elsewhere);
-		double atOnce = (this.level + this.unconfirmed) * here / (here + elsewhere);
-		return Math.min(ofWindow, atOnce);
+		double requestedHere = requested(nowNanos);
+		double requestedElsewhere = requestedAtOthers(nowNanos);
+		double rise = Math.max(1, requestedHere
+				/ Math.max(this.requestedAtLastReport, MIN_CALLS_FOR_RISE * Math.max(units, this.averageUnits)));
+		double windowShare = (limit - this.usedInWindow + this.unconfirmed + slack) * requestedHere
+				/ (requestedHere + rise * requestedElsewhere);
+		double burstShare = (this.burstLevel + this.unconfirmed) * requestedHere / (requestedHere + requestedElsewhere);
+		return Math.min(windowShare, burstShare);
 	}
 
-	// -- using
-
 	void take(double units, long nowNanos) {
 		add(units, nowNanos);
-		this.slots.getLast().own += units;
-		this.ownInWindow += units;
-		this.own += units;
+		this.slots.getLast().ownUnits += units;
+		this.usedHereInWindow += units;
+		this.usedHere += units;
 		this.sinceReport += units;
 	}
 
 	void giveBack(double units) {
 		remove(units);
-		this.own -= units;
+		this.usedHere -= units;
 	}
 
 	private void add(double units, long nowNanos) {
 		slot(this.slots, nowNanos).units += units;
-		this.level -= units;
-		this.sum += units;
+		this.burstLevel -= units;
+		this.usedInWindow += units;
 	}
 
-	// The oldest first: what was not used after all was counted then or later. Off the
-	// newest, use that is real would leave the window too early.
+	// Begins with the oldest slots, since the returned units were counted in them or
+	// later. Removed from the newest slots, units that were really used would leave the
+	// window too early.
 	private void remove(double units) {
-		this.level += units;
-		double left = units;
-		for (Iterator<Slot> oldest = this.slots.iterator(); left > 0 && oldest.hasNext();) {
+		this.burstLevel += units;
+		double remaining = units;
+		for (Iterator<Slot> oldest = this.slots.iterator(); remaining > 0 && oldest.hasNext();) {
 			Slot slot = oldest.next();
-			double taken = Math.min(left, slot.units);
-			slot.units -= taken;
-			this.sum -= taken;
-			left -= taken;
+			double removed = Math.min(remaining, slot.units);
+			slot.units -= removed;
+			this.usedInWindow -= removed;
+			remaining -= removed;
 		}
 	}
 
 	/**
-	 * Forgets what has left the window.
-	 * @param nowNanos the time
+	 * Removes the use that has left the window.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void expire(long nowNanos) {
 		while (!this.slots.isEmpty() && nowNanos - this.slots.getFirst().atNanos > this.windowNanos) {
 			Slot old = this.slots.removeFirst();
-			this.sum -= old.units;
-			this.ownInWindow -= old.own;
+			this.usedInWindow -= old.units;
+			this.usedHereInWindow -= old.ownUnits;
 		}
 	}
 
-	// -- what comes evenly
-
 	/**
-	 * Lets what may be used at once grow up to now.
+	 * Adds the units that have become available in one burst since the last call.
 	 * @param window the units that a whole window allows
-	 * @param atStart the part of a window that may be used at the start, 0 later
-	 * @param slack the units that may be used at once beside a part of the window
-	 * @param nowNanos the time
+	 * @param startFraction the fraction of a window that may be used at the start, 0
+	 * later
+	 * @param slack the units that may be used in one burst in addition to the fraction of
+	 * the window
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void fill(double window, double atStart, double slack, long nowNanos) {
-		this.atOnce = window * AT_ONCE + slack;
-		this.level += Math.max(0, window * atStart - this.givenAtStart);
-		this.givenAtStart = Math.max(window * atStart, this.givenAtStart);
+	void refill(double window, double startFraction, double slack, long nowNanos) {
+		this.maxBurstLevel = window * BURST_FRACTION + slack;
+		this.burstLevel += Math.max(0, window * startFraction - this.startUnits);
+		this.startUnits = Math.max(window * startFraction, this.startUnits);
 		this.unitsPerNano = window / this.windowNanos;
-		this.level += this.unitsPerNano * (nowNanos - this.filledNanos);
-		this.level = Math.min(this.atOnce, this.level);
-		this.filledNanos = nowNanos;
+		this.burstLevel += this.unitsPerNano * (nowNanos - this.refilledNanos);
+		this.burstLevel = Math.min(this.maxBurstLevel, this.burstLevel);
+		this.refilledNanos = nowNanos;
 	}
 
 	/**
-	 * The time until units may be used at once. A call that counts more than may ever be
-	 * used at once goes when as much as possible is there.
+	 * Returns the time until units are available in one burst. A call with more units
+	 * than can ever be available in one burst passes once the maximum is available.
 	 * @param units the units
-	 * @return the time in milliseconds, 0 for now
+	 * @return the time in milliseconds, 0 if they are available now
 	 */
-	long evenlyMillis(double units) {
-		double missing = Math.min(units, this.atOnce) - this.level;
+	long burstWaitMillis(double units) {
+		double missing = Math.min(units, this.maxBurstLevel) - this.burstLevel;
 		return (missing > 0) ? Math.max(1, TimeUnit.NANOSECONDS.toMillis((long) (missing / this.unitsPerNano))) : 0;
 	}
 
 	/**
-	 * The time until no more than the given units were used within a window.
+	 * Returns the time until at most the given units were used within a window.
 	 * @param allowed the units
-	 * @param nowNanos the time
-	 * @return the time in milliseconds, 0 for now
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the time in milliseconds, 0 if that is so now
 	 */
-	long windowMillis(double allowed, long nowNanos) {
-		if (this.sum <= allowed) {
+	long windowWaitMillis(double allowed, long nowNanos) {
+		if (this.usedInWindow <= allowed) {
 			return 0;
 		}
 		double used = 0;
@@ -256,88 +270,83 @@
 		return (allowed < 0) ? TimeUnit.NANOSECONDS.toMillis(this.windowNanos) : 0;
 	}
 
-	// -- what callers were told
-
-	void promise(double units, long atNanos) {
+	void addRetry(double units, long atNanos) {
 		Slot slot = new Slot(atNanos);
 		slot.units = units;
-		this.promised.addLast(slot);
+		this.unitsToRetry.addLast(slot);
 	}
 
-	double promised(long nowNanos) {
-		this.promised.removeIf((slot) -> slot.atNanos - nowNanos <= 0);
-		return units(this.promised);
+	double unitsToRetry(long nowNanos) {
+		this.unitsToRetry.removeIf((slot) -> slot.atNanos - nowNanos <= 0);
+		return units(this.unitsToRetry);
 	}
 
-	// -- what processes tell one another
-
 	/**
-	 * Notes that a report goes out with what was used up to now.
-	 * @param report its number
-	 * @param nowNanos the time
+	 * Records that a report with the use up to now is sent.
+	 * @param report the number of the report
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void tell(int report, long nowNanos) {
-		this.askedThen = asked(nowNanos);
+	void reportSent(int report, long nowNanos) {
+		this.requestedAtLastReport = requested(nowNanos);
 		if (this.sinceReport > 0) {
-			this.reported.addLast(new Reported(report, this.sinceReport));
+			this.unconfirmedUses.addLast(new ReportedUse(report, this.sinceReport));
 			this.sinceReport = 0;
 		}
 	}
 
 	/**
-	 * Notes that all others know what was told.
-	 * @param report the number of the last report that all had
+	 * Records that all other processes received the use up to a report.
+	 * @param report the number of the last report that all of them received
 	 */
-	void confirm(int report) {
-		this.reported.removeIf((use) -> use.report <= report);
-		this.unconfirmed = this.sinceReport + this.reported.stream().mapToDouble(Reported::units).sum();
+	void reportConfirmed(int report) {
+		this.unconfirmedUses.removeIf((use) -> use.report <= report);
+		this.unconfirmed = this.sinceReport + this.unconfirmedUses.stream().mapToDouble(ReportedUse::units).sum();
 	}
 
 	/**
-	 * Takes what another process tells.
-	 * @param process the process
-	 * @param use what it tells
-	 * @param known whether the process was heard before, of this organisation or others
-	 * @param nowNanos the time
+	 * Processes the use reported by another process.
+	 * @param process the name of the process
+	 * @param use the reported use
+	 * @param reportedBefore whether a report of the process was received before, for this
+	 * organisation or another one
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void hear(String process, Use use, boolean known, long nowNanos) {
-		Told before = this.others.put(process, new Told(use, nowNanos));
-		double unheard = known ? 0 : unheard(use);
-		double more = use.units() - ((before != null) ? before.use.units() : unheard);
-		if (more >= 0) {
-			add(more, nowNanos);
+	void reportReceived(String process, Use use, boolean reportedBefore, long nowNanos) {
+		RemoteUse before = this.remoteUses.put(process, new RemoteUse(use, nowNanos));
+		double earlierUnits = reportedBefore ? 0 : unitsBeforeFirstReport(use);
+		double increase = use.units() - ((before != null) ? before.use.units() : earlierUnits);
+		if (increase >= 0) {
+			add(increase, nowNanos);
 		}
 		else {
-			remove(-more);
+			remove(-increase);
 		}
 	}
 
-	// What was used before the first telling was used at an unknown time, unless the
-	// process is fresh.
-	private static double unheard(Use use) {
-		return use.fresh() ? 0 : use.units();
+	// The use before the first report happened at an unknown time, unless the process
+	// has just started.
+	private static double unitsBeforeFirstReport(Use use) {
+		return use.inFirstWindow() ? 0 : use.units();
 	}
 
-	Use use(boolean fresh, long nowNanos) {
-		return new Use(this.own, asked(nowNanos), fresh);
+	Use use(boolean inFirstWindow, long nowNanos) {
+		return new Use(this.usedHere, requested(nowNanos), inFirstWindow);
 	}
 
-	// -- queries
-
 	/**
-	 * What all used within the window, as far as it is known.
+	 * Returns the use of all processes within the window, as far as it is known here.
 	 * @return the units
 	 */
-	double sum() {
-		return this.sum;
+	double usedInWindow() {
+		return this.usedInWindow;
 	}
 
-	double ownInWindow() {
-		return this.ownInWindow;
+	double usedHereInWindow() {
+		return this.usedHereInWindow;
 	}
 
 	/**
-	 * What was used here of which not all others have confirmed that they know.
+	 * Returns the use here that not all other processes have confirmed.
 	 * @return the units, as of the last confirmation
 	 */
 	double unconfirmed() {
@@ -355,23 +364,23 @@
 		return slots.stream().mapToDouble((slot) -> slot.units).sum();
 	}
 
-	/** What another process told last. */
-	private record Told(Use use, long atNanos) {
+	/** The last use reported by another process. */
+	private record RemoteUse(Use use, long atNanos) {
 	}
 
-	/** Use that a report told of. */
-	private record Reported(int report, double units) {
+	/** Use that was included in a report. */
+	private record ReportedUse(int report, double units) {
 	}
 
-	/** Units of one moment. */
+	/** Units used or requested at one time. */
 	private static final class Slot {
 
 		private final long atNanos;
 
 		private double units;
 
-		/** What of it this process used. */
-		private double own;
+		/** The units that this process used. */
+		private double ownUnits;
 
 		private Slot(long atNanos) {
 			this.atNanos = atNanos;
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleet.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleet.java
@@ -18,20 +18,23 @@
 import org.rosemaryfront.routes.Organisation;
 
 /**
- * Gateways that share quotas by telling one another, on virtual time: reports that are
- * late, lost or cut one way, processes that stand still, die and start. One organisation
- * asks for far more than its quota, through all of them.
+ * Gateways that share quotas through reports, in virtual time. Reports may be late, lost
+ * or cut in one direction, and processes may be paused, killed and started. One
+ * organisation requests far more than its quota, through all gateways.
  */
 final class QuotaFleet {
 
-	/** A large organisation with long prompts, and nothing beside its quota. */
-	private static final Load LARGE = new Load(1_690_000, 9_000, 0);
+	/** A large organisation with long prompts and no slack beyond its quota. */
+	private static final Load LARGE_ORGANISATION = new Load(1_690_000, 9_000, 0);
 
 	private static final long WINDOW_MILLIS = 8_000;
 
 	private static final int TICK_MILLIS = 50;
 
-	/** Of the network between gateways; the rest waits for its turn on a thread. */
+	/**
+	 * The network delay between gateways. The rest of the transit time is the wait for
+	 * the next tick of a thread.
+	 */
 	private static final int DELAY_MILLIS = 15;
 
 	private final Load load;
@@ -42,12 +45,12 @@
 
 	private final List<Gateway> gateways = new ArrayList<>();
 
-	/** Reports in the order in which they arrive. */
-	private final Deque<Telling> underWay = new ArrayDeque<>();
+	/** The reports in transit, in the order of their arrival. */
+	private final Deque<ReportInTransit> inTransit = new ArrayDeque<>();
 
-	private final List<Passed> passed = new ArrayList<>();
+	private final List<RecordedCall> admitted = new ArrayList<>();
 
-	private final List<Passed> asked = new ArrayList<>();
+	private final List<RecordedCall> requested = new ArrayList<>();
 
 	private final int count;
 
@@ -62,20 +65,20 @@
 	}
 
 	/**
-	 * Gateways that have known one another for longer than a window.
-	 * @param count how many
-	 * @param seed of all that is random
+	 * Creates gateways that have exchanged reports for longer than a window.
+	 * @param count the number of gateways
+	 * @param seed the seed of all random numbers
 	 * @return the gateways
 	 */
 	static QuotaFleet of(int count, long seed) {
-		return of(count, seed, LARGE);
+		return of(count, seed, LARGE_ORGANISATION);
 	}
 
 	/**
-	 * Gateways that have known one another for longer than a window.
-	 * @param count how many
-	 * @param seed of all that is random
-	 * @param load what the organisation may use and asks for
+	 * Creates gateways that have exchanged reports for longer than a window.
+	 * @param count the number of gateways
+	 * @param seed the seed of all random numbers
+	 * @param load the quota of the organisation and the size of its calls
 	 * @return the gateways
 	 */
 	static QuotaFleet of(int count, long seed, Load load) {
@@ -87,12 +90,12 @@
 		return fleet;
 	}
 
-	// -- what happens
+	// -- load and faults
 
 	/**
-	 * Lets time pass while the organisation asks.
-	 * @param millis how long
-	 * @param quotasPerSecond what it asks for, in quotas a second
+	 * Advances the time while the organisation sends calls.
+	 * @param millis the time in milliseconds
+	 * @param quotasPerSecond the requested units per second, in quotas
 	 */
 	void run(long millis, double quotasPerSecond) {
 		double callsPerMilli = quotasPerSecond * this.load.quota / this.load.callUnits / 1_000;
@@ -100,7 +103,7 @@
 			deliver();
 			for (double calls = callsPerMilli; calls > 0; calls--) {
 				if (this.random.nextDouble() < calls) {
-					caller().called(units());
+					randomGateway().processCall(units());
 				}
 			}
 			this.gateways.forEach(Gateway::tick);
@@ -108,17 +111,17 @@
 	}
 
 	/**
-	 * Cuts the way from a gateway to another, or heals it.
-	 * @param from who is not heard any more
-	 * @param to who does not hear
-	 * @param cut whether it is cut
+	 * Cuts or restores the link from one gateway to another.
+	 * @param from the gateway whose reports are lost
+	 * @param to the gateway that does not receive them
+	 * @param cut whether the link is cut
 	 */
 	void cut(int from, int to, boolean cut) {
-		this.gateways.get(to).deafTo.put(from, cut);
+		this.gateways.get(to).cutLinks.put(from, cut);
 	}
 
 	/**
-	 * Cuts a group off from all others, both ways, or heals it.
+	 * Cuts a group off from all others in both directions, or reconnects it.
 	 * @param group the gateways
 	 * @param cut whether they are cut off
 	 */
@@ -134,52 +137,53 @@
 	}
 
 	/**
-	 * A gateway stands still; its callers go on to call, and are served at its wake.
-	 * @param gateway which
-	 * @param frozen whether it stands still
+	 * Pauses or resumes a gateway. Its callers continue to call, and are served when it
+	 * resumes.
+	 * @param gateway the gateway
+	 * @param paused whether it is paused
 	 */
-	void freeze(int gateway, boolean frozen) {
-		this.gateways.get(gateway).freeze(frozen);
+	void pause(int gateway, boolean paused) {
+		this.gateways.get(gateway).pause(paused);
 	}
 
 	/**
-	 * A gateway is killed and another process starts in its place.
-	 * @param gateway which
+	 * Kills a gateway and starts another process in its place.
+	 * @param gateway the gateway
 	 */
 	void restart(int gateway) {
 		this.gateways.set(gateway, new Gateway(gateway, this.nowMillis));
 	}
 
 	/**
-	 * All gateways are killed; other processes start in their places.
-	 * @param downMillis how long nobody serves
+	 * Kills all gateways and starts other processes in their places.
+	 * @param downMillis the time without any process, in milliseconds
 	 */
 	void killAll(long downMillis) {
-		this.gateways.forEach((gateway) -> gateway.freeze(true));
+		this.gateways.forEach((gateway) -> gateway.pause(true));
 		run(downMillis, 0);
 		for (int i = 0; i < this.count; i++) {
 			restart(i);
 		}
 	}
 
-	// -- what is seen
+	// -- results
 
 	int gateways() {
 		return this.count;
 	}
 
 	/**
-	 * The most that was let through in any window.
-	 * @return in quotas
+	 * Returns the maximum use that was admitted in any window.
+	 * @return the use in quotas
 	 */
 	double worstWindow() {
 		double worst = 0;
 		double sum = 0;
 		int first = 0;
-		for (Passed use : this.passed) {
+		for (RecordedCall use : this.admitted) {
 			sum += use.units;
-			while (this.passed.get(first).atMillis <= use.atMillis - WINDOW_MILLIS) {
-				sum -= this.passed.get(first++).units;
+			while (this.admitted.get(first).atMillis <= use.atMillis - WINDOW_MILLIS) {
+				sum -= this.admitted.get(first++).units;
 			}
 			worst = Math.max(worst, sum);
 		}
@@ -187,54 +191,55 @@
 	}
 
 	/**
-	 * What was let through since a moment.
-	 * @param sinceMillis the moment
-	 * @return in quotas
+	 * Returns the use that was admitted since a time.
+	 * @param sinceMillis the time
+	 * @return the use in quotas
 	 */
 	double usedSince(long sinceMillis) {
-		return this.passed.stream().filter((use) -> use.atMillis >= sinceMillis).mapToDouble(Passed::units).sum()
-				/ this.load.quota;
+		return this.admitted.stream()
+			.filter((use) -> use.atMillis >= sinceMillis)
+			.mapToDouble(RecordedCall::units)
+			.sum() / this.load.quota;
 	}
 
 	/**
-	 * The share of what was asked for that was let through, by units.
-	 * @return from 0 to 1
+	 * Returns the fraction of the requested units that was admitted.
+	 * @return the fraction, from 0 to 1
 	 */
-	double served() {
-		return usedSince(Long.MIN_VALUE) * this.load.quota / this.asked.stream().mapToDouble(Passed::units).sum();
+	double servedFraction() {
+		return usedSince(Long.MIN_VALUE) * this.load.quota
+				/ this.requested.stream().mapToDouble(RecordedCall::units).sum();
 	}
 
 	/**
-	 * What was let through, against what one gateway that sees all calls would let
-	 * through without passing the quota in any window.
-	 * @return 1 for as much
+	 * Returns the admitted units, relative to what one gateway that receives all calls
+	 * would admit without exceeding the quota in any window.
+	 * @return the ratio, 1 for as much
 	 */
-	double servedOfDue() {
-		double due = 0;
+	double servedOfPermitted() {
+		double permitted = 0;
 		double window = 0;
-		Deque<Passed> inWindow = new ArrayDeque<>();
-		for (Passed call : this.asked) {
+		Deque<RecordedCall> inWindow = new ArrayDeque<>();
+		for (RecordedCall call : this.requested) {
 			while (!inWindow.isEmpty() && inWindow.getFirst().atMillis <= call.atMillis - WINDOW_MILLIS) {
 				window -= inWindow.removeFirst().units;
 			}
 			if (window + call.units <= this.load.quota) {
 				inWindow.addLast(call);
 				window += call.units;
-				due += call.units;
+				permitted += call.units;
 			}
 		}
-		return usedSince(Long.MIN_VALUE) * this.load.quota / due;
+		return usedSince(Long.MIN_VALUE) * this.load.quota / permitted;
 	}
 
 	long nowMillis() {
 		return this.nowMillis;
 	}
 
-	// -- inside
-
-	// Callers keep to some gateways more than to others: the first has three times the
+	// Callers use some gateways more than others: the first receives three times the
 	// calls of the last.
-	private Gateway caller() {
+	private Gateway randomGateway() {
 		double place = this.random.nextDouble();
 		return this.gateways.get((int) (this.gateways.size() * (0.5 * place + 0.5 * place * place)));
 	}
@@ -244,13 +249,13 @@
 	}
 
 	private void deliver() {
-		while (!this.underWay.isEmpty() && this.underWay.getFirst().arrives <= this.nowMillis) {
-			Telling telling = this.underWay.removeFirst();
-			this.gateways.get(telling.to).heard(telling);
+		while (!this.inTransit.isEmpty() && this.inTransit.getFirst().arrivalMillis <= this.nowMillis) {
+			ReportInTransit delivery = this.inTransit.removeFirst();
+			this.gateways.get(delivery.to).receive(delivery);
 		}
 	}
 
-	/** A process with the part of the fleet that it hears. */
+	/** A process with its view of the fleet. */
 	private final class Gateway {
 
 		private final int index;
@@ -261,20 +266,20 @@
 
 		private final Fleet fleet;
 
-		private final Map<Integer, Boolean> deafTo = new HashMap<>();
+		private final Map<Integer, Boolean> cutLinks = new HashMap<>();
 
-		/** What waits for this process to run again. */
+		/** The tasks that wait until this process resumes. */
 		private final Deque<Runnable> waiting = new ArrayDeque<>();
 
-		private boolean frozen;
+		private boolean paused;
 
-		private long nextTellMillis;
+		private long nextReportMillis;
 
 		private long nextTickMillis;
 
 		private int number;
 
-		/** What the last report said. */
+		/** The group in the last report. */
 		private int group;
 
 		private Optional<Use> use = Optional.empty();
@@ -291,49 +296,49 @@
 				}
 			}
 			this.fleet.complete();
-			this.nextTellMillis = startedMillis + QuotaFleet.this.random.nextInt((int) tellMillis());
+			this.nextReportMillis = startedMillis + QuotaFleet.this.random.nextInt((int) reportIntervalMillis());
 			this.nextTickMillis = startedMillis + QuotaFleet.this.random.nextInt(TICK_MILLIS);
 		}
 
-		private long tellMillis() {
+		private long reportIntervalMillis() {
 			return TimeUnit.NANOSECONDS.toMillis(this.fleet.reportNanos());
 		}
 
-		private void freeze(boolean now) {
-			this.frozen = now;
-			while (!now && !this.waiting.isEmpty()) {
+		private void pause(boolean paused) {
+			this.paused = paused;
+			while (!paused && !this.waiting.isEmpty()) {
 				this.waiting.removeFirst().run();
 			}
 		}
 
-		private void called(double units) {
-			QuotaFleet.this.asked.add(new Passed(QuotaFleet.this.nowMillis, units));
+		private void processCall(double units) {
+			QuotaFleet.this.requested.add(new RecordedCall(QuotaFleet.this.nowMillis, units));
 			whenRunning(() -> {
 				this.table.sharing(this.fleet.sharing(nowNanos()));
 				if (this.table.take(QuotaFleet.this.organisation, units, nowNanos()).waitMillis() == 0) {
-					QuotaFleet.this.passed.add(new Passed(QuotaFleet.this.nowMillis, units));
+					QuotaFleet.this.admitted.add(new RecordedCall(QuotaFleet.this.nowMillis, units));
 				}
 			});
 		}
 
-		private void heard(Telling telling) {
-			if (!this.deafTo.getOrDefault(telling.from, false)) {
+		private void receive(ReportInTransit delivery) {
+			if (!this.cutLinks.getOrDefault(delivery.from, false)) {
 				whenRunning(() -> {
-					Hearing hearing = this.fleet.heard(telling.report, nowNanos());
-					if (hearing == Hearing.LATE) {
+					Hearing status = this.fleet.heard(delivery.report, nowNanos());
+					if (status == Hearing.LATE) {
 						return;
 					}
-					Map<String, Use> uses = telling.use.map((use) -> Map.of("sfax", use)).orElse(Map.of());
-					this.table.usedByOther(telling.process, uses, nowNanos());
-					if (hearing == Hearing.FIRST) {
-						answer(telling.from);
+					Map<String, Use> uses = delivery.use.map((use) -> Map.of("sfax", use)).orElse(Map.of());
+					this.table.usedByOther(delivery.process, uses, nowNanos());
+					if (status == Hearing.FIRST) {
+						repeatReport(delivery.from);
 					}
 				});
 			}
 		}
 
 		private void whenRunning(Runnable task) {
-			if (this.frozen) {
+			if (this.paused) {
 				this.waiting.addLast(task);
 			}
 			else {
@@ -342,18 +347,18 @@
 		}
 
 		private void tick() {
-			if (this.frozen || QuotaFleet.this.nowMillis < this.nextTickMillis) {
+			if (this.paused || QuotaFleet.this.nowMillis < this.nextTickMillis) {
 				return;
 			}
 			this.nextTickMillis = QuotaFleet.this.nowMillis + TICK_MILLIS;
-			if (QuotaFleet.this.nowMillis >= this.nextTellMillis) {
-				this.nextTellMillis = QuotaFleet.this.nowMillis + tellMillis();
+			if (QuotaFleet.this.nowMillis >= this.nextReportMillis) {
+				this.nextReportMillis = QuotaFleet.this.nowMillis + reportIntervalMillis();
 				this.number++;
-				tell();
+				sendReports();
 			}
 		}
 
-		private void tell() {
+		private void sendReports() {
 			this.group = this.fleet.group(nowNanos());
 			this.use = Optional.ofNullable(this.table.used(nowNanos()).get("sfax"));
 			this.table.told(this.number, nowNanos());
@@ -365,10 +370,10 @@
 			}
 		}
 
-		// The last report once more, for one that waits for its confirmation.
-		private void answer(int to) {
+		// Repeats the last report for a gateway that waits for its confirmation.
+		private void repeatReport(int to) {
 			if (this.number == 0) {
-				this.nextTellMillis = QuotaFleet.this.nowMillis;
+				this.nextReportMillis = QuotaFleet.this.nowMillis;
 			}
 			else {
 				send(to);
@@ -378,7 +383,7 @@
 		private void send(int to) {
 			Report report = new Report("gateway-" + this.index, this.process.hashCode(), this.number, false, this.group,
 					false, this.fleet.confirmation("gateway-" + to, nowNanos()));
-			QuotaFleet.this.underWay.addLast(new Telling(this.index, to, this.process, report, this.use,
+			QuotaFleet.this.inTransit.addLast(new ReportInTransit(this.index, to, this.process, report, this.use,
 					QuotaFleet.this.nowMillis + DELAY_MILLIS));
 		}
 
@@ -389,21 +394,22 @@
 	}
 
 	/**
-	 * What an organisation may use and what it asks for.
+	 * The quota of an organisation and the size of its calls.
 	 *
-	 * @param quota what it may use in a window, in units
-	 * @param callUnits what a call counts on average, in units
-	 * @param slack what may be used beside the quota, in units
+	 * @param quota the units that it may use in a window
+	 * @param callUnits the average units of a call
+	 * @param slack the units that may be used beyond the quota
 	 */
 	record Load(double quota, double callUnits, double slack) {
 	}
 
-	/** A report under way. */
-	private record Telling(int from, int to, String process, Report report, Optional<Use> use, long arrives) {
+	/** A report in transit. */
+	private record ReportInTransit(int from, int to, String process, Report report, Optional<Use> use,
+			long arrivalMillis) {
 	}
 
-	/** A call that was let through. */
-	private record Passed(long atMillis, double units) {
+	/** A call that was requested or admitted. */
+	private record RecordedCall(long atMillis, double units) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/TableFollowerTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/TableFollowerTests.java
@@ -19,15 +19,16 @@
 
 	private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
-	private static final long OUTAGE = 2_400 * MILLI;
+	private static final long OUTAGE_NANOS = 2_400 * MILLI;
 
-	private final Freshness freshness = Freshness.unproven(OUTAGE);
+	private final Freshness freshness = Freshness.unproven(OUTAGE_NANOS);
 
 	private final TableFollower follower = TableFollower.of(this.freshness, FreshnessLimits.usual(), () -> 0.5);
 
 	private Asked feed;
 
-	// The whole table is known at version 10 at time 0, and a question waits for changes.
+	// At time 0 the whole table is read at version 10, and a query for changes is
+	// pending.
 	@BeforeEach
 	void follow() {
 		Asked whole = only(Question.Whole.class, this.follower.tick(Role.FIRST, 0));
@@ -35,24 +36,24 @@
 		this.feed = only(Question.Feed.class, this.follower.tick(Role.FIRST, 0));
 	}
 
-	// -- asking
+	// -- queries
 
 	@Test
-	void shouldWaitForChangesBehindWhatItKnows() {
+	void shouldQueryChangesAfterLocalVersion() {
 		assertThat(this.feed.question()).isEqualTo(new Question.Feed(10, TimeUnit.SECONDS.toNanos(20)));
 		assertThat(this.follower.tick(Role.FIRST, 100 * MILLI)).isEmpty();
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "FIRST, 500", "STAND_BY, 800", "RESTING, 1175" })
-	void shouldCheckWhenNothingIsProvenForTooLong(Role role, long limitMillis) {
+	void shouldCheckWhenLastConfirmationIsTooOld(Role role, long limitMillis) {
 		assertThat(this.follower.tick(role, (limitMillis - 1) * MILLI)).isEmpty();
 		Asked check = only(Question.Check.class, this.follower.tick(role, limitMillis * MILLI));
 		assertThat(check.question()).isEqualTo(new Question.Check(10));
 	}
 
-	// Guards against counting on one connection: a question that stays unanswered does
-	// not keep another one from going out.
+	// Guards against relying on one connection: an unanswered query must not keep
+	// another one from being sent.
 	@Test
 	void shouldCheckAgainWhenCheckIsNotAnswered() {
 		only(Question.Check.class, this.follower.tick(Role.FIRST, 500 * MILLI));
@@ -62,22 +63,22 @@
 	}
 
 	@Test
-	void shouldNotCheckWhenReportProvesTheTable() {
+	void shouldNotCheckWhenReportConfirmsTheTable() {
 		this.follower.told(10, true, Optional.of(1_000 * MILLI), 1_100 * MILLI);
 		assertThat(this.follower.tick(Role.RESTING, 1_200 * MILLI)).isEmpty();
 		assertThat(this.freshness.source()).isEqualTo(Source.REPORT);
 	}
 
 	@Test
-	void shouldCheckWhenChangesWereNotToldWhole() {
+	void shouldCheckWhenReportedChangesAreIncomplete() {
 		this.follower.told(12, false, Optional.of(100 * MILLI), 100 * MILLI);
 		only(Question.Check.class, this.follower.tick(Role.RESTING, 100 * MILLI));
 		assertThat(this.freshness.ageNanos(100 * MILLI)).hasValue(100 * MILLI);
 	}
 
-	// Guards against a store that serves others and not this gateway.
+	// Guards against a store that serves other gateways and not this one.
 	@Test
-	void shouldAskGatewayThatKnowsMoreWhenStoreDoesNotAnswer() {
+	void shouldQueryGatewayWhenStoreDoesNotRespond() {
 		this.follower.told(12, false, Optional.empty(), 100 * MILLI);
 		only(Question.Check.class, this.follower.tick(Role.RESTING, 100 * MILLI));
 		Asked ofGateway = only(Question.OfGateway.class, this.follower.tick(Role.RESTING, 250 * MILLI));
@@ -86,12 +87,12 @@
 		assertThat(this.follower.tick(Role.RESTING, 600 * MILLI)).isEmpty();
 	}
 
-	// -- answers
+	// -- responses
 
-	// Guards against a question that waits on a connection which carries nothing any
+	// Guards against waiting for a response on a connection that carries nothing any
 	// more.
 	@Test
-	void shouldGiveUpFeedWhenCheckFindsWhatItShouldHaveTold() {
+	void shouldAbandonFeedWhenCheckFindsMissedChanges() {
 		Asked check = only(Question.Check.class, this.follower.tick(Role.FIRST, 500 * MILLI));
 		Answer answer = this.follower.answered(check, 11, true, 510 * MILLI);
 		assertThat(answer.lostFeed()).contains(this.feed);
@@ -100,7 +101,7 @@
 	}
 
 	@Test
-	void shouldReadTheWholeTableWhenFeedBreaksOffOrHistoryIsLost() {
+	void shouldReadWholeTableWhenFeedFailsOrHistoryIsLost() {
 		this.follower.failed(this.feed, false, 100 * MILLI);
 		assertThat(this.follower.tick(Role.FIRST, 199 * MILLI)).isEmpty();
 		Asked whole = only(Question.Whole.class, this.follower.tick(Role.FIRST, 200 * MILLI));
@@ -110,9 +111,8 @@
 		only(Question.Whole.class, this.follower.tick(Role.FIRST, 325 * MILLI));
 	}
 
-	// Guards against a table that is older than what is known: it proves nothing, and
-	// what
-	// follows must not begin from its version.
+	// Guards against a whole table that is older than the local copy: it confirms
+	// nothing, and later queries must not start from its version.
 	@Test
 	void shouldReadAgainWhenWholeTableIsOlder() {
 		this.follower.failed(this.feed, true, 100 * MILLI);
@@ -123,30 +123,30 @@
 		only(Question.Whole.class, this.follower.tick(Role.FIRST, 800 * MILLI));
 	}
 
-	// Guards against noticing the store's return only with the next change: a server that
-	// leaves then would be taken for one whose registration lapsed.
+	// Guards against noticing the end of an outage only with the next change: a server
+	// that leaves then would be taken for one whose registration expired.
 	@Test
-	void shouldNoticeReturnOfStoreBeforeTheNextChange() {
+	void shouldDetectEndOfOutageBeforeTheNextChange() {
 		long now = 0;
 		this.follower.failed(this.feed, false, now);
 		while (now < 5_000 * MILLI) {
 			now += 50 * MILLI;
 			long failedAt = now;
-			this.follower.tick(Role.FIRST, now).forEach((asked) -> this.follower.failed(asked, false, failedAt));
+			this.follower.tick(Role.FIRST, now).forEach((sent) -> this.follower.failed(sent, false, failedAt));
 		}
 		while (this.freshness.returnedNanos().isEmpty()) {
 			now += 50 * MILLI;
-			long answeredAt = now;
+			long respondedAt = now;
 			this.follower.tick(Role.FIRST, now)
 				.stream()
-				.filter((asked) -> !(asked.question() instanceof Question.OfGateway))
-				.forEach((asked) -> this.follower.answered(asked, 10, false, answeredAt));
+				.filter((sent) -> !(sent.question() instanceof Question.OfGateway))
+				.forEach((sent) -> this.follower.answered(sent, 10, false, respondedAt));
 		}
 		assertThat(now).isLessThanOrEqualTo(5_800 * MILLI);
 	}
 
 	@Test
-	void shouldPauseLongerWithEachFailure() {
+	void shouldBackOffLongerWithEachFailure() {
 		Asked check = only(Question.Check.class, this.follower.tick(Role.FIRST, 500 * MILLI));
 		this.follower.failed(check, false, 500 * MILLI);
 		check = only(Question.Check.class, this.follower.tick(Role.FIRST, 600 * MILLI));
@@ -155,29 +155,30 @@
 		only(Question.Check.class, this.follower.tick(Role.FIRST, 800 * MILLI));
 	}
 
-	// Guards against a reader that the store stopped serving: others would count on it.
+	// Guards against a reader that the store no longer serves: other gateways would
+	// rely on it.
 	@Test
-	void shouldNotCountAsReaderOnceStoreFailsIt() {
+	void shouldNotCountAsReaderWhenStoreFails() {
 		assertThat(this.follower.isReading(100 * MILLI)).isTrue();
 		this.follower.failed(this.feed, false, 100 * MILLI);
 		assertThat(this.follower.isReading(100 * MILLI)).isFalse();
 	}
 
 	@Test
-	void shouldKeepItsCalmWhenFeedOfGatewayThatRestsBreaksOff() {
+	void shouldIgnoreFailureWhenGatewayIsResting() {
 		this.follower.tick(Role.RESTING, 100 * MILLI);
 		assertThat(this.follower.failed(this.feed, false, 110 * MILLI)).isEmpty();
 		assertThat(this.follower.isFailing()).isFalse();
 		assertThat(this.follower.tick(Role.RESTING, 200 * MILLI)).isEmpty();
 	}
 
-	// Guards against telling others of a proof that is older than the suspension of the
-	// VM.
+	// Guards against reporting a confirmation from before the suspension of the VM to
+	// other gateways.
 	@Test
-	void shouldProveNothingToOthersUntilStoreAnswersAgainBehindPause() {
-		Asked asked = only(Question.Check.class, this.follower.tick(Role.FIRST, 500 * MILLI));
+	void shouldConfirmNothingToOthersUntilStoreRespondsAfterPause() {
+		Asked sent = only(Question.Check.class, this.follower.tick(Role.FIRST, 500 * MILLI));
 		this.follower.paused(600 * MILLI);
-		this.follower.answered(asked, 10, false, 610 * MILLI);
+		this.follower.answered(sent, 10, false, 610 * MILLI);
 		this.follower.told(10, true, Optional.of(605 * MILLI), 610 * MILLI);
 		assertThat(this.follower.isReading(610 * MILLI)).isFalse();
 		assertThat(this.follower.ownAgeNanos(610 * MILLI)).isEmpty();
@@ -186,10 +187,10 @@
 		assertThat(this.follower.ownAgeNanos(620 * MILLI)).hasValue(10 * MILLI);
 	}
 
-	private static Asked only(Class<? extends Question> kind, List<Asked> asked) {
-		assertThat(asked).hasSize(1);
-		assertThat(asked.getFirst().question()).isInstanceOf(kind);
-		return asked.getFirst();
+	private static Asked only(Class<? extends Question> kind, List<Asked> sent) {
+		assertThat(sent).hasSize(1);
+		assertThat(sent.getFirst().question()).isInstanceOf(kind);
+		return sent.getFirst();
 	}
 
 }
