--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/AdminServer.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/AdminServer.java
@@ -20,7 +20,10 @@
 import org.rosemaryfront.crashes.RequestDigest;
 import org.rosemaryfront.gateway.proto.TableRows;
 
-/** Answers whether callers may come, and serves the metrics. */
+/**
+ * Serves readiness checks on one port, and metrics, table contents and the quarantined
+ * requests on another.
+ */
 final class AdminServer implements AutoCloseable {
 
 	private static final String METRICS_PATH = "/metrics";
@@ -68,9 +71,9 @@
 	}
 
 	/**
-	 * The path at which a gateway serves a table that it follows.
-	 * @param table the table
-	 * @param known the version up to which the reader knows it
+	 * Returns the path at which a gateway serves its copy of a table.
+	 * @param table the name of the table
+	 * @param known the version up to which the reader has the table
 	 * @return the path
 	 */
 	static String tablePath(String table, long known) {
@@ -106,19 +109,19 @@
 		this.metrics.disposeNow();
 	}
 
-	/** Requests under which servers crashed, for an operator. */
+	/** Lists and releases, for operators, the requests under which servers crashed. */
 	interface HeldRequests {
 
 		/**
-		 * The requests that are known, with the servers that crashed.
-		 * @return what is to be written as JSON
+		 * Returns the requests under which servers crashed.
+		 * @return the requests, to be written as JSON
 		 */
 		Mono<List<HeldRequest>> list();
 
 		/**
-		 * Releases a request, at all gateways.
-		 * @param request the request
-		 * @return whether anything was known of it
+		 * Releases a request from quarantine at all gateways.
+		 * @param request the digest of the request
+		 * @return whether there was a record of a crash under it
 		 */
 		Mono<Boolean> release(RequestDigest request);
 
@@ -127,25 +130,28 @@
 	/**
 	 * A request under which servers crashed.
 	 *
-	 * @param digest names the request
-	 * @param held whether it is held back
-	 * @param crashes the servers that crashed
+	 * @param digest the digest of the request
+	 * @param held whether the request is quarantined
+	 * @param crashes the crashes of servers that had the request
 	 */
 	record HeldRequest(String digest, boolean held, List<HeldCrash> crashes) {
 	}
 
 	/**
-	 * A server that crashed while it had a request.
+	 * A crash of a server that had a request.
 	 *
-	 * @param server the server
-	 * @param startedMillis which start of it
+	 * @param server the identifier of the server
+	 * @param startedMillis when that server process started, in milliseconds since 1970
 	 * @param atMillis when its connection broke, in milliseconds since 1970
-	 * @param state how sure it is
+	 * @param state the state of the evidence, in lower case
 	 */
 	record HeldCrash(String server, long startedMillis, long atMillis, String state) {
 	}
 
-	/** Loaded with the first question only: start-up is part of every recovery. */
+	/**
+	 * Holds the mapper; loaded on the first request for metrics, because building it
+	 * would lengthen start-up and with it every recovery.
+	 */
 	private static final class Mapper {
 
 		private static final JsonMapper SHARED = JsonMapper.builder()
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallProgress.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallProgress.java
@@ -16,8 +16,9 @@
 import org.rosemaryfront.traffic.Call;
 
 /**
- * What was decided about a call under way: its units, the servers that had it, and what
- * is expected of the last one. Used on the control thread.
+ * The decisions made about a call in progress: its quota units, the servers it was sent
+ * to, and the expected time to first token at the last one. Confined to the control
+ * thread.
  */
 final class CallProgress {
 
@@ -29,26 +30,28 @@
 
 	private long unreadTokens;
 
-	/** When its first token was expected, behind its sending. */
+	/** The expected time to first token since the call was sent, in milliseconds. */
 	private long expectedMillis;
 
-	/** Whether a first token is expected that did not come yet. */
+	/** Whether a first token is expected and has not arrived yet. */
 	private boolean awaited;
 
 	private long sentNanos;
 
-	/** What its server had to do until its first token, unless it fetched parts. */
+	/**
+	 * The work of the server up to the first token; empty if it also transferred KV cache
+	 * entries.
+	 */
 	private Optional<Work> work = Optional.empty();
 
 	private double units;
 
-	/** When its units were taken. */
 	private long takenNanos;
 
-	/** What of the quota was used of what is allowed, for the log. */
+	/** Used and allowed units of the quota, for the log. */
 	private String quota = "none";
 
-	/** With whom it was shared, for the log. */
+	/** How many gateways share the quota, for the log. */
 	private String gateways = "none";
 
 	private boolean ran;
@@ -62,9 +65,9 @@
 	// -- factories
 
 	/**
-	 * A call that came in.
+	 * Creates the progress of a call that has just arrived.
 	 * @param call the call
-	 * @return its progress, with nothing decided
+	 * @return the progress, with nothing decided
 	 */
 	static CallProgress of(Call call) {
 		return of(call.terms().prompt().map(Prompt::shared).orElse(SharedParts.none()));
@@ -89,33 +92,34 @@
 		this.unreadTokens = chosen.unreadTokens();
 		this.expectedMillis = chosen.expectedMillis();
 		this.awaited = chosen.work().isPresent();
-		// What is fetched takes time that the work does not speak of.
+		// A transfer of KV cache entries takes time that the work does not include.
 		this.work = chosen.fetchFrom().isPresent() ? Optional.empty() : chosen.work();
 		this.sentNanos = nowNanos;
 	}
 
 	/**
-	 * With whom the quota of a call was shared, for the log.
-	 * @param taking what came of the wish for units
-	 * @return the gateways of the group, of all that may serve callers
+	 * Formats how many gateways share the quota of a call, for the log.
+	 * @param taking the result of taking units
+	 * @return the number of gateways in the group, a slash, and the number of all
+	 * gateways that may serve callers
 	 */
 	static String gateways(Taking taking) {
 		return taking.sharing().group() + "/" + taking.sharing().members();
 	}
 
-	/** It did not reach the server that it was given to. */
+	/** Records that the call did not reach the server chosen for it. */
 	void notSent() {
 		this.unsent++;
 	}
 
-	/** A server may have run it, so that its units are spent. */
+	/** Records that a server may have run the call, so its units are not given back. */
 	void mayHaveRun() {
 		this.ran = true;
 	}
 
 	/**
-	 * Takes the units that it was admitted with.
-	 * @return the units; 0 once they were taken
+	 * Returns the units that the call was admitted with and resets them.
+	 * @return the units; 0 on later calls
 	 */
 	double takeUnits() {
 		double taken = this.units;
@@ -124,8 +128,8 @@
 	}
 
 	/**
-	 * Takes the prompt tokens that its server still had to read.
-	 * @return the tokens; 0 once they were taken
+	 * Returns the uncached prompt tokens that the server had to prefill and resets them.
+	 * @return the tokens; 0 on later calls
 	 */
 	long takeUnread() {
 		long taken = this.unreadTokens;
@@ -134,10 +138,11 @@
 	}
 
 	/**
-	 * Its first token came, or its answer.
-	 * @param nowNanos the time
-	 * @return how long it took, against what was expected where something was; empty when
-	 * it has no server
+	 * Returns the ratio of measured to expected time when the first token or the response
+	 * arrives.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the ratio, each time plus one millisecond; with no expectation the expected
+	 * time is 0; empty if the call has no server
 	 */
 	OptionalDouble beganRatio(long nowNanos) {
 		long millis = TimeUnit.NANOSECONDS.toMillis(nowNanos - this.sentNanos);
@@ -146,10 +151,10 @@
 	}
 
 	/**
-	 * Its first token came.
-	 * @param nowNanos the time
-	 * @return how long it took against what was expected, empty when nothing was expected
-	 * or it came before
+	 * Records that the first token arrived.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the measured and expected time to first token; empty if none was expected
+	 * or it was recorded before
 	 */
 	Optional<FirstToken> firstToken(long nowNanos) {
 		if (!this.awaited || this.server.isEmpty()) {
@@ -204,12 +209,12 @@
 	}
 
 	/**
-	 * How long a first token took.
+	 * A measured time to first token.
 	 *
-	 * @param server who made it
-	 * @param expectedMillis the time that was expected, in milliseconds
-	 * @param millis the time that it took, in milliseconds
-	 * @param work what the server had to do, empty when that is not all that took time
+	 * @param server the server process that produced it
+	 * @param expectedMillis the expected time, in milliseconds
+	 * @param millis the measured time, in milliseconds
+	 * @param work the work of the server, empty if other work took time as well
 	 */
 	record FirstToken(Start server, long expectedMillis, long millis, Optional<Work> work) {
 	}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CallProgressTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CallProgressTests.java
@@ -25,9 +25,8 @@
 		this.progress.sent(new Choice.Chosen(SERVER, 0, 100, expectedMillis, 1, Optional.empty(), work), 0);
 	}
 
-	// A server that is fast enough to be expected within a millisecond is not learned
-	// from
-	// any more.
+	// Guards against ignoring servers whose expected time rounds to 0 ms: the model would
+	// no longer learn from them.
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 40 })
 	void shouldTellFirstTokenWhateverWasExpected(long expectedMillis) {
