--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallQuotas.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallQuotas.java
@@ -17,8 +17,8 @@
 import org.rosemaryfront.traffic.Refusal.Cause;
 
 /**
- * Takes the units of calls from the quotas of their organisations. Used on the control
- * thread.
+ * Charges the units of calls to the quotas of their organisations. Confined to the
+ * control thread.
  */
 final class CallQuotas {
 
@@ -28,7 +28,10 @@
 
 	private final Supplier<Optional<TrafficConfiguration>> configuration;
 
-	/** Notices a pause of this process and takes what was told, at the time given. */
+	/**
+	 * Detects a pause of this process and applies pending updates from other gateways;
+	 * takes the current time.
+	 */
 	private final LongConsumer catchUp;
 
 	CallQuotas(QuotaTable quotas, Fleet fleet, Supplier<Optional<TrafficConfiguration>> configuration,
@@ -40,21 +43,21 @@
 	}
 
 	/**
-	 * Takes the units of a call of an organisation.
+	 * Charges the units of a call to the quota of its organisation, or refuses the call.
 	 * @param call the call
-	 * @param progress notes what was taken
-	 * @param now the time
-	 * @return whether the call may go on; it was refused otherwise
+	 * @param progress records the units charged
+	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @return whether the call was admitted
 	 */
 	boolean take(Call call, CallProgress progress, long now) {
-		// Calls that came while this process stood still are decided before it has read
-		// what the others told meanwhile.
+		// After a process pause, waiting calls would otherwise be decided before the
+		// updates that other gateways sent meanwhile are read.
 		this.catchUp.accept(now);
 		Organisation organisation = current(call.organisation().orElseThrow());
 		Sharing sharing = this.fleet.sharing(now);
 		if (organisation.unitsPerSecond() > 0 && !sharing.isKnown()) {
 			call.refuse(503, GatewayControl.fullRetryMillis(),
-					Refusal.of(Cause.GATEWAYS_UNKNOWN, "the gateways that share the quota are not known yet"));
+					Refusal.of(Cause.GATEWAYS_UNKNOWN, "number of gateways sharing the quota not known yet"));
 			return false;
 		}
 		this.quotas.sharing(sharing);
@@ -70,16 +73,17 @@
 
 	private static void refuse(Call call, double units, Taking taking) {
 		long wait = taking.waitMillis();
-		String detail = String.format(Locale.ROOT, "%.0f of %.0f units used, %.0f asked, %.0f unconfirmed, gateways %s",
-				taking.used(), taking.limit(), units, taking.unconfirmed(), CallProgress.gateways(taking));
+		String detail = String.format(Locale.ROOT,
+				"%.0f of %.0f units used, %.0f requested, %.0f unconfirmed, gateways %s", taking.used(), taking.limit(),
+				units, taking.unconfirmed(), CallProgress.gateways(taking));
 		call.refuse(429, wait + ThreadLocalRandom.current().nextLong(wait / 2 + 1), Refusal.of(Cause.QUOTA, detail));
 	}
 
 	/**
-	 * Gives the units of a call back that did not run.
+	 * Gives back the units of a call that did not run.
 	 * @param call the call
-	 * @param progress what was taken
-	 * @param now the time
+	 * @param progress the record of the units charged
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void giveBack(Call call, CallProgress progress, long now) {
 		double units = progress.takeUnits();
@@ -98,7 +102,8 @@
 		};
 	}
 
-	// The quota in force now, which may be lower than when the call came.
+	// Returns the quota currently in force, which may be lower than when the call
+	// arrived.
 	private Organisation current(Organisation organisation) {
 		return this.configuration.get()
 			.flatMap((now) -> now.organisations()
