--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashGuard.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashGuard.java
@@ -18,21 +18,21 @@
 import org.rosemaryfront.traffic.Refusal.Cause;
 
 /**
- * Keeps calls from servers whose requests crash them, and takes from the ends of calls
- * what speaks for and against their requests. Used on the control thread, but for
- * {@link #isHeldBack}.
+ * Blocks calls whose requests are quarantined because servers crash under them, and
+ * collects evidence for and against requests from the outcomes of calls. Confined to the
+ * control thread, except {@link #isHeldBack}.
  */
 final class CrashGuard {
 
 	/**
-	 * When to come back with a request that is held back, in milliseconds. It stays so
-	 * until an operator releases it.
+	 * Retry-after time for a quarantined request, in milliseconds. The request stays
+	 * quarantined until an operator releases it.
 	 */
 	static final long RETRY_MILLIS = 60_000;
 
 	/**
-	 * When to come back with a request of which a copy is on trial, in milliseconds:
-	 * calls that crashed their servers did so within a second.
+	 * Retry-after time while a probe of the request is running, in milliseconds: calls
+	 * that crashed their servers did so within a second.
 	 */
 	private static final long TRIAL_RETRY_MILLIS = 1_000;
 
@@ -40,7 +40,7 @@
 
 	private final BackendTable servers;
 
-	/** Calls that are sent though their requests are held back. */
+	/** Calls sent as probes although their requests are quarantined. */
 	private final Set<Call> onTrial = ConcurrentHashMap.newKeySet();
 
 	CrashGuard(CrashRecords crashes, BackendTable servers) {
@@ -51,15 +51,15 @@
 	// -- before a call is sent
 
 	/**
-	 * Lets a call go on, or refuses it at once. It uses no quota before that.
+	 * Admits a call or refuses it immediately, before it uses any quota.
 	 * @param call the call
-	 * @param go goes on with it, at the time given
-	 * @param now the time
+	 * @param go continues with the call; takes the current time
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void admit(Call call, LongConsumer go, long now) {
 		if (!this.crashes.isKnown()) {
 			call.refuse(503, GatewayControl.fullRetryMillis(),
-					Refusal.of(Cause.CRASHES_UNKNOWN, "the requests that are held back are not known yet"));
+					Refusal.of(Cause.CRASHES_UNKNOWN, "quarantined requests not read from the store yet"));
 			return;
 		}
 		switch (judge(call)) {
@@ -81,10 +81,10 @@
 	}
 
 	/**
-	 * Why a call is not sent, or not sent again: its own servers crashed, or those of
+	 * Returns why a call must not be sent or retried: servers crashed under it or under
 	 * other copies of its request.
 	 * @param call the call
-	 * @return the refusal, empty when it may be sent
+	 * @return the refusal, empty if the call may be sent
 	 */
 	Optional<Refusal> heldBack(Call call) {
 		Judgement judgement = judge(call);
@@ -95,21 +95,21 @@
 	}
 
 	/**
-	 * Whether a call must not be sent any more; may be asked on any thread.
+	 * Returns whether a call must no longer be sent. Safe to call on any thread.
 	 * @param call the call
-	 * @return true when its request is held back and it is not on trial
+	 * @return true if its request is quarantined and the call is not the probe
 	 */
 	boolean isHeldBack(Call call) {
 		return call.digest().filter(this.crashes::isHeld).isPresent() && !this.onTrial.contains(call);
 	}
 
-	// -- while it is under way
+	// -- while a call is in progress
 
 	/**
-	 * The calls whose request is held back, but for the one on trial.
-	 * @param request the request
-	 * @param calls all calls under way
-	 * @return those to be ended
+	 * Returns the calls of a quarantined request, except the probe.
+	 * @param request the digest of the request
+	 * @param calls all calls in progress
+	 * @return the calls to be ended
 	 */
 	List<Call> copies(RequestDigest request, Collection<Call> calls) {
 		return calls.stream()
@@ -118,8 +118,8 @@
 	}
 
 	/**
-	 * Ends a call whose request is held back from now on. Waiting for its turn at a
-	 * server, it would crash one more.
+	 * Ends a call whose request was quarantined; if it stayed queued at a server, it
+	 * would crash that server too.
 	 * @param call the call
 	 * @param ran whether a server may have run it
 	 */
@@ -127,14 +127,15 @@
 		call.withdraw(ran, RETRY_MILLIS, refusal(judge(call)));
 	}
 
-	// -- how it ended
+	// -- outcomes of calls
 
 	/**
-	 * A call was answered whole.
+	 * Records that a call got a complete response.
 	 * @param call the call
-	 * @param server who answered
-	 * @param sentNanos when the call was sent there
-	 * @param now the time
+	 * @param server the server that responded
+	 * @param sentNanos when the call was sent to the server, on the monotonic clock, in
+	 * nanoseconds
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void answered(Call call, BackendServer server, long sentNanos, long now) {
 		this.crashes.answers(server.start(), sentNanos, now);
@@ -142,12 +143,13 @@
 	}
 
 	/**
-	 * A call failed at a server. Servers that are about to leave end what they have when
-	 * they go: that is no crash.
+	 * Records that a call failed at a server. Broken connections of servers that were
+	 * about to shut down are not counted as crashes: a server ends its remaining calls
+	 * when it shuts down.
 	 * @param call the call
 	 * @param server the server
-	 * @param failure what happened
-	 * @param now the time
+	 * @param failure the failure
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void failed(Call call, BackendServer server, Failure failure, long now) {
 		boolean broke = failure.sent() && !failure.answered() && !(failure.verdict() instanceof Verdict.NotRun);
@@ -157,7 +159,8 @@
 	}
 
 	/**
-	 * A call is over. A trial that no server got is for the next copy.
+	 * Records that a call ended. A probe that was never sent to a server is given back
+	 * for the next copy.
 	 * @param call the call
 	 */
 	void over(Call call) {
@@ -171,8 +174,8 @@
 	}
 
 	private static Refusal refusal(Judgement judgement) {
-		return Refusal.of(Cause.CRASHES_SERVERS,
-				"crashed under it: " + judgement.servers().stream().map(BackendServer.Start::id).toList());
+		return Refusal.of(Cause.CRASHES_SERVERS, "servers that crashed under the request: "
+				+ judgement.servers().stream().map(BackendServer.Start::id).toList());
 	}
 
 }
