--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRecords.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRecords.java
@@ -25,8 +25,9 @@
 import org.rosemaryfront.program.ControlLoop;
 
 /**
- * Finds out whether servers crash under requests, tells the others at once, and says in
- * the log what is believed of a request and why. Used on the control thread.
+ * Detects servers that crash under requests, sends the evidence to the other gateways
+ * immediately, and logs when a request is quarantined or released and why. Confined to
+ * the control thread.
  */
 final class CrashRecords {
 
@@ -42,13 +43,15 @@
 
 	private final CrashStore store;
 
-	/** Servers that are asked whether they live. */
+	/**
+	 * Servers with a connection attempt in progress that checks whether they are alive.
+	 */
 	private final Set<Start> asked = new HashSet<>();
 
-	/** Requests of which the log says that they are held back. */
+	/** Requests logged as quarantined. */
 	private final Set<RequestDigest> toldHeld = new HashSet<>();
 
-	/** Whether the others should hear of news soon. */
+	/** Whether there are updates to send before the next report is due. */
 	private boolean urgent;
 
 	CrashRecords(RowStore rows, BackendTable servers, ControlLoop control, String process, Hooks hooks) {
@@ -63,18 +66,20 @@
 	// -- queries
 
 	/**
-	 * Whether the table was read once. A process that starts must know it before it sends
-	 * anything: what was learned before a kill of all is nowhere else.
-	 * @return true from then on; may be asked on any thread
+	 * Returns whether the table has been read from the store. A starting process must not
+	 * send calls before: after a kill of all processes the evidence exists only in the
+	 * store. Safe to call on any thread.
+	 * @return true once the table was read
 	 */
 	boolean isKnown() {
 		return this.store.isKnown();
 	}
 
 	/**
-	 * Whether a request must not be sent, but for its trial; may be asked on any thread.
-	 * @param request the request
-	 * @return true when it is held back
+	 * Returns whether a request is quarantined, so that only its probe may be sent. Safe
+	 * to call on any thread.
+	 * @param request the digest of the request
+	 * @return true if it is quarantined
 	 */
 	boolean isHeld(RequestDigest request) {
 		return this.table.isHeld(request);
@@ -85,8 +90,8 @@
 	}
 
 	/**
-	 * What is known, for an operator.
-	 * @return the requests, the oldest first
+	 * Returns the requests under which servers crashed, for operators.
+	 * @return the requests, oldest first
 	 */
 	List<HeldRequest> list() {
 		return this.table.all()
@@ -111,13 +116,13 @@
 		return this.trials;
 	}
 
-	// -- what calls show
+	// -- evidence from calls and connections
 
 	/**
-	 * A connection broke off in the middle of a call.
-	 * @param request the request
-	 * @param server the server that had it
-	 * @param now the time
+	 * Records that a connection broke in the middle of a call.
+	 * @param request the digest of the request
+	 * @param server the server that had the request
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void broke(RequestDigest request, BackendServer server, long now) {
 		Crash crash = new Crash(request, server.start());
@@ -132,18 +137,18 @@
 	private void answeredWhetherItLives(BackendServer server, boolean lives, long now) {
 		this.asked.remove(server.start());
 		if (lives) {
-			lives(server.start(), now, "the server takes connections", now);
+			lives(server.start(), now, "server accepts connections", now);
 		}
 		else {
-			crashed(server.start(), "no connection can be made", now);
+			crashed(server.start(), "connection attempt failed", now);
 		}
 	}
 
 	/**
-	 * A server crashed.
-	 * @param server the start of the server
-	 * @param sign what shows it
-	 * @param now the time
+	 * Records that a server crashed.
+	 * @param server the server process
+	 * @param sign the observation that shows the crash, for the log
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void crashed(Start server, String sign, long now) {
 		this.servers.crashed(server, now);
@@ -155,13 +160,13 @@
 	}
 
 	/**
-	 * A server answered a call.
-	 * @param server the start of the server
-	 * @param sentNanos when the call was sent
-	 * @param now the time
+	 * Records that a server responded to a call.
+	 * @param server the server process
+	 * @param sentNanos when the call was sent, on the monotonic clock, in nanoseconds
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void answers(Start server, long sentNanos, long now) {
-		lives(server, sentNanos, "the server answered", now);
+		lives(server, sentNanos, "server responded to a call", now);
 	}
 
 	private void lives(Start server, long sentNanos, String sign, long now) {
@@ -173,19 +178,19 @@
 	}
 
 	/**
-	 * A request was answered whole.
-	 * @param request the request
-	 * @param now the time
+	 * Records that a request got a complete response.
+	 * @param request the digest of the request
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void answered(RequestDigest request, long now) {
-		clear(request, "the request was answered", now);
+		clear(request, "request completed", now);
 	}
 
 	/**
-	 * An operator releases a request.
-	 * @param request the request
-	 * @param now the time
-	 * @return whether anything was known of it
+	 * Releases a request from quarantine on behalf of an operator.
+	 * @param request the digest of the request
+	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @return whether there was a record of a crash under it
 	 */
 	boolean release(RequestDigest request, long now) {
 		return clear(request, "released by an operator", now);
@@ -194,8 +199,9 @@
 	private boolean clear(RequestDigest request, String cause, long now) {
 		List<Evidence> cleared = this.table.cleared(request, now);
 		noteCleared(cleared, cause);
-		// A gateway that heard of the end of a trial before it heard of its success has
-		// tried the request once more: there is nothing left to clear then.
+		// The probe is given back even if nothing was cleared: a gateway that sees the
+		// end of a probe before its success runs a second probe, and when that one
+		// succeeds the evidence is already cleared.
 		if (this.trials.isGiven(request)) {
 			this.trials.giveBack(request);
 		}
@@ -205,9 +211,9 @@
 	// -- the other gateways
 
 	/**
-	 * What is told to the other gateways.
-	 * @param now the time
-	 * @return the news
+	 * Returns the updates for the other gateways.
+	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @return the updates
 	 */
 	List<CrashNews> news(long now) {
 		this.urgent = false;
@@ -215,18 +221,18 @@
 	}
 
 	/**
-	 * Whether the others should hear of news before the next report is due.
-	 * @return true until {@link #news} was asked for
+	 * Returns whether there are updates to send before the next report is due.
+	 * @return true until {@link #news} is called
 	 */
 	boolean isUrgent() {
 		return this.urgent;
 	}
 
 	/**
-	 * Takes what another gateway told.
+	 * Applies updates received from another gateway.
 	 * @param gateway the other gateway
-	 * @param news what it told
-	 * @param now the time
+	 * @param news the updates
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void heard(String gateway, List<CrashNews> news, long now) {
 		for (CrashNews one : news) {
@@ -263,16 +269,17 @@
 	}
 
 	/**
-	 * Lets time pass.
-	 * @param now the time
+	 * Expires old evidence and writes pending evidence to the store.
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void tick(long now) {
 		this.store.tick(now);
 	}
 
 	/**
-	 * Removes rows that nothing needs any more, as the holder of the duties.
-	 * @param epochMillis the time of day
+	 * Deletes rows that are no longer needed; called by the gateway that holds the
+	 * duties.
+	 * @param epochMillis the time of day, in milliseconds since 1970
 	 */
 	void tidy(long epochMillis) {
 		this.store.tidy(epochMillis);
@@ -280,8 +287,8 @@
 
 	// -- the log
 
-	// One gateway's crash can be that of twenty requests: what others saw is told here
-	// only where it may hold a request back.
+	// One crash that another gateway saw can be evidence against twenty requests, so it
+	// is logged only for requests that it may quarantine.
 	private void took(Evidence evidence, String from, long now) {
 		RequestDigest request = evidence.crash().request();
 		if (evidence.state() == State.CONFIRMED) {
@@ -305,7 +312,8 @@
 	private void noteCleared(List<Evidence> cleared, String cause) {
 		for (Evidence evidence : cleared) {
 			RequestDigest request = evidence.crash().request();
-			// Of a connection that only broke the others know nothing.
+			// Suspected crashes are not sent to the other gateways, so clearing one is
+			// not urgent.
 			this.urgent |= this.table.evidence(evidence.crash()).isPresent();
 			this.hooks.count("crashes.cleared");
 			EventLog.info(GatewayEvents.CRASH_CLEARED, "digest", request, "server", evidence.crash().server().id(),
@@ -315,7 +323,7 @@
 		}
 	}
 
-	// Tells when a request is held back, or no longer is.
+	// Logs and reports when a request becomes quarantined or is released.
 	private void review(RequestDigest request) {
 		Judgement judgement = judge(request);
 		boolean held = judgement instanceof Judgement.Held;
@@ -329,24 +337,25 @@
 		}
 	}
 
-	/** What this needs of the rest of the process. */
+	/** Callbacks into the rest of the process. */
 	interface Hooks {
 
 		/**
-		 * Asks whether a server lives, by a new connection.
+		 * Checks whether a server is alive by opening a new connection to it.
 		 * @param server the server
-		 * @param reply gets whether the server took it, on any thread
+		 * @param reply receives whether the server accepted the connection; called on any
+		 * thread
 		 */
 		void ask(BackendServer server, Consumer<Boolean> reply);
 
 		/**
-		 * A request is held back from now on.
-		 * @param request the request
+		 * Reports that a request was quarantined.
+		 * @param request the digest of the request
 		 */
 		void held(RequestDigest request);
 
 		/**
-		 * Counts something.
+		 * Increments a counter.
 		 * @param name the name of the metric
 		 */
 		void count(String name);
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashRecordsTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashRecordsTests.java
@@ -65,8 +65,8 @@
 
 	// -- the store
 
-	// A process that starts knows what others saw before it; rows that cannot be read
-	// are passed over.
+	// A starting process takes over the crashes that others recorded, and skips rows that
+	// it cannot parse.
 	@Test
 	void shouldHoldBackByTheRowsOfTheStore() {
 		this.rows.put(CrashRows.TABLE, "no digest", "{}");
@@ -79,8 +79,8 @@
 		assertThat(this.records.isHeld(REQUEST)).isTrue();
 	}
 
-	// Servers crashed while the store was away: what it lacks is written once it is back,
-	// and a process that starts then knows it.
+	// Servers crash while the store is unavailable. Their rows are written once it is
+	// available again, so that a process that starts then reads them.
 	@Test
 	void shouldWriteWhatTheStoreLacksOnceItIsBack() {
 		follow();
@@ -93,7 +93,7 @@
 		GatewayHarness.await(() -> this.rows.rows(CrashRows.TABLE).size() == 3);
 	}
 
-	// Two gateways write the same crash, among others.
+	// Two gateways write the same crash, one of them in a commit with another crash.
 	@Test
 	void shouldWriteOtherRowsBesideOneThatIsThere() {
 		follow();
@@ -116,9 +116,9 @@
 		GatewayHarness.await(() -> !this.records.isHeld(REQUEST));
 	}
 
-	// -- the trial
+	// -- the probe
 
-	// Two gateways ask for the one trial of a request at the same time.
+	// Two gateways claim the only probe of a request at the same time.
 	@Test
 	void shouldGiveTrialToOneOnly() {
 		crashAtOneMoment();
@@ -130,8 +130,8 @@
 		GatewayHarness.await(() -> judge() instanceof Judgement.Held);
 	}
 
-	// The answer to a claim is lost, though its row is there: nothing was sent, and the
-	// one trial of the request would be gone.
+	// The response to a claim is lost although its row was written. Nothing was sent, and
+	// without giving the probe back the request would never get another one.
 	@Test
 	void shouldGiveTrialBackWhenAnswerToClaimIsLost() {
 		crashAtOneMoment();
@@ -143,7 +143,7 @@
 		GatewayHarness.await(this::claim);
 	}
 
-	// A trial is given back that no server got, while the store is away.
+	// A probe that no server received is given back while the store is unavailable.
 	@Test
 	void shouldGiveTrialBackOnceTheStoreIsBack() {
 		crashAtOneMoment();
@@ -199,7 +199,7 @@
 		return new Crash(REQUEST, new Start("s" + server, 0));
 	}
 
-	// Does what it is asked, and may lose the answer.
+	// Executes each commit but can lose its response.
 	private RowStore store() {
 		return new RowStore() {
 			@Override
@@ -220,7 +220,8 @@
 	}
 
 	private <T> Mono<T> answer(T value) {
-		return this.losingAnswers ? Mono.error(StoreException.of(Reason.UNREACHABLE, Verdict.mayHaveRun(), "no answer"))
+		return this.losingAnswers
+				? Mono.error(StoreException.of(Reason.UNREACHABLE, Verdict.mayHaveRun(), "no response"))
 				: Mono.just(value);
 	}
 
@@ -234,12 +235,12 @@
 
 		@Override
 		public void held(RequestDigest request) {
-			// There are no calls.
+			// No calls to end.
 		}
 
 		@Override
 		public void count(String name) {
-			// Nobody reads it.
+			// Metrics are not checked.
 		}
 
 	}
