--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRows.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRows.java
@@ -12,8 +12,8 @@
 import org.rosemaryfront.dispatch.BackendServer.Start;
 
 /**
- * The rows about requests under which backend servers crash: one for each request and
- * server, and one for the trial of a request.
+ * Keys and values of the rows about requests under which backend servers crash: one row
+ * for each request and server, and one for the probe of a request.
  */
 final class CrashRows {
 
@@ -30,7 +30,8 @@
 	private CrashRows() {
 	}
 
-	// The server's name can be as long as a key may be: its hash is in the key.
+	// The server's name alone can be as long as the longest key allowed, so the key
+	// contains its hash.
 	static String key(Crash crash) {
 		long server = Hashing.wyhashFinal4()
 			.hashCharsToLong(crash.server().id() + '@' + crash.server().startedMillis());
@@ -46,10 +47,10 @@
 	}
 
 	/**
-	 * The request that a row is about.
+	 * Returns the request that a row is about.
 	 * @param key the key of the row
-	 * @return the request
-	 * @throws IllegalArgumentException when the key names none
+	 * @return the digest of the request
+	 * @throws IllegalArgumentException if the key does not contain a digest
 	 */
 	static RequestDigest request(String key) {
 		return RequestDigest.parse(key.substring(0, Math.max(0, key.indexOf('/'))));
@@ -66,45 +67,45 @@
 	}
 
 	/**
-	 * Reads the row about the trial of a request.
-	 * @param value its value
-	 * @return the start of the gateway that has the trial
-	 * @throws IllegalStateException when the value cannot be read
+	 * Reads the row of a request's probe.
+	 * @param value the value of the row
+	 * @return the gateway process that has the probe
+	 * @throws IllegalStateException if the value cannot be parsed
 	 */
 	static String readTrial(byte[] value) {
-		return RowJson.read(value, TRIAL_ROW, "the row of a trial").gateway();
+		return RowJson.read(value, TRIAL_ROW, "probe row").gateway();
 	}
 
 	/**
-	 * Reads a row about a crash.
+	 * Reads the row of a crash.
 	 * @param key the key of the row
-	 * @param value its value
+	 * @param value the value of the row
 	 * @return the evidence
-	 * @throws IllegalArgumentException when the key names no request
-	 * @throws IllegalStateException when the value cannot be read
+	 * @throws IllegalArgumentException if the key does not contain a digest
+	 * @throws IllegalStateException if the value cannot be parsed
 	 */
 	static Evidence read(String key, byte[] value) {
-		CrashRow row = RowJson.read(value, CRASH_ROW, "the row of a crash");
+		CrashRow row = RowJson.read(value, CRASH_ROW, "crash row");
 		Crash crash = new Crash(request(key), new Start(row.server(), row.startedMillis()));
 		return new Evidence(crash, row.cleared() ? State.CLEARED : State.CONFIRMED, row.atMillis());
 	}
 
 	/**
-	 * The value of a row.
+	 * The value of the row of a crash.
 	 *
-	 * @param server the server that crashed
-	 * @param startedMillis which start of it
+	 * @param server the identifier of the server that crashed
+	 * @param startedMillis when that server process started, in milliseconds since 1970
 	 * @param atMillis when its connection broke, in milliseconds since 1970
-	 * @param cleared whether it does not speak against the request any more
-	 * @param gateway who wrote the row
+	 * @param cleared whether the crash no longer counts against the request
+	 * @param gateway the gateway process that wrote the row
 	 */
 	private record CrashRow(String server, long startedMillis, long atMillis, boolean cleared, String gateway) {
 	}
 
 	/**
-	 * The value of a row about a trial.
+	 * The value of the row of a probe.
 	 *
-	 * @param gateway which start of a gateway has it
+	 * @param gateway the gateway process that has the probe
 	 */
 	private record TrialRow(String gateway) {
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashStore.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashStore.java
@@ -24,40 +24,44 @@
 import org.rosemaryfront.program.ControlLoop;
 
 /**
- * Keeps crashes under requests in the store, where they last over a kill of all processes
- * and reach gateways that do not hear one another. What the store does not take is
- * written once it does. Used on the control thread.
+ * Persists crashes under requests in the store, so that they survive a kill of all
+ * processes and reach gateways that cannot exchange reports. Failed writes are retried
+ * until the store accepts them. Confined to the control thread.
  */
 final class CrashStore {
 
 	/**
-	 * The time between two looks at what is to be written, in nanoseconds: the control
-	 * thread comes by with each call.
+	 * Minimum time between two checks for pending writes, in nanoseconds; without it
+	 * every call on the control thread would run the check.
 	 */
 	private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-	/** Rows written at once; the store takes a hundred a call. */
+	/** Maximum rows per commit; the store accepts a hundred. */
 	private static final int MOST_WRITES = 50;
 
 	/**
-	 * How long rows of what was cleared are kept, for news that come late, and while
-	 * there are many rows those of requests with a single crash.
+	 * Retention of rows of cleared crashes, in milliseconds, so that updates that arrive
+	 * late do not count; also applies to requests with a single crash while there are
+	 * more than {@link #CROWDED_ROWS} rows.
 	 */
 	private static final long SHORT_KEPT_MILLIS = TimeUnit.MINUTES.toMillis(10);
 
 	/**
-	 * The time between two looks for such rows, which are kept for minutes at the least:
-	 * the duties come by ten times a second, also while the store takes no deletion.
+	 * Minimum time between two searches for rows to delete, in milliseconds. Rows are
+	 * kept for minutes, while the duties run ten times a second, also when the store
+	 * accepts no deletions.
 	 */
 	private static final long TIDY_MILLIS = TimeUnit.SECONDS.toMillis(10);
 
-	/** From so many rows on single crashes are kept for a shorter time. */
+	/**
+	 * Number of rows above which single crashes are kept for {@link #SHORT_KEPT_MILLIS}.
+	 */
 	private static final int CROWDED_ROWS = 512;
 
 	/**
-	 * How long crashes of a request are kept that is not held back: a request that
-	 * crashes servers comes again within that time, and others are long forgotten by
-	 * then.
+	 * Retention of the crashes of a request that is not quarantined, in milliseconds: a
+	 * request that crashes servers recurs within this time, and the crashes of other
+	 * requests no longer matter after it.
 	 */
 	private static final long KEPT_MILLIS = TimeUnit.DAYS.toMillis(1);
 
@@ -69,19 +73,19 @@
 
 	private final ControlLoop control;
 
-	/** This start of this gateway. */
+	/** The name of this gateway process, unique to this start. */
 	private final String process;
 
 	private final News news;
 
-	/** Which crash a row is about, for rows that go. */
+	/** The crash of each row by its key, to look it up when the row is deleted. */
 	private final Map<String, Crash> rows = new HashMap<>();
 
 	private int writing;
 
 	private long lookedNanos = System.nanoTime();
 
-	/** The time of day of the last look for rows that nothing needs. */
+	/** The time of day of the last search for rows to delete. */
 	private long tidiedMillis;
 
 	private volatile boolean known;
@@ -96,8 +100,8 @@
 	}
 
 	/**
-	 * Whether the table was read once.
-	 * @return true from then on; may be asked on any thread
+	 * Returns whether the table has been read from the store. Safe to call on any thread.
+	 * @return true once the table was read
 	 */
 	boolean isKnown() {
 		return this.known;
@@ -110,8 +114,8 @@
 	// -- writing
 
 	/**
-	 * Lets time pass.
-	 * @param now the time
+	 * Expires old evidence and writes pending evidence to the store.
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void tick(long now) {
 		if (now - this.lookedNanos >= LOOK_NANOS) {
@@ -131,8 +135,9 @@
 		}
 	}
 
-	// New rows must not be there: a write whose answer was lost can take effect seconds
-	// later, and would make a crash count again that was cleared meanwhile.
+	// Rows of confirmed crashes are written only if absent: a write whose response was
+	// lost can take effect seconds later, and without the condition it would restore a
+	// crash that was cleared in the meantime.
 	private void write(List<Evidence> due) {
 		this.writing++;
 		List<Condition> conditions = due.stream()
@@ -152,7 +157,7 @@
 		switch (outcome) {
 			case Outcome.Committed _ -> due.forEach(this.table::written);
 			case Outcome.Conflict _ when due.size() == 1 -> this.table.written(due.getFirst());
-			// Another gateway wrote one of the rows: each for itself.
+			// Another gateway wrote one of the rows, so each row is written on its own.
 			case Outcome.Conflict _ -> due.forEach((one) -> write(List.of(one)));
 		}
 		writeDue(now);
@@ -165,8 +170,9 @@
 	}
 
 	/**
-	 * Removes rows that nothing needs any more, as the holder of the duties.
-	 * @param epochMillis the time of day
+	 * Deletes rows that are no longer needed; called by the gateway that holds the
+	 * duties.
+	 * @param epochMillis the time of day, in milliseconds since 1970
 	 */
 	void tidy(long epochMillis) {
 		if (Math.abs(epochMillis - this.tidiedMillis) < TIDY_MILLIS) {
@@ -185,7 +191,8 @@
 		}
 	}
 
-	// What the table forgot for want of room goes from the store as well.
+	// Crashes that the table evicted because it was full are deleted from the store as
+	// well.
 	private boolean isOld(Crash crash, long epochMillis) {
 		if (this.table.isHeld(crash.request())) {
 			return false;
@@ -247,15 +254,15 @@
 	}
 
 	/**
-	 * Who is told of rows.
+	 * Callbacks for changes of rows.
 	 *
-	 * @param crash takes a crash that is news, and the time
-	 * @param removed takes a request of which a row was removed
+	 * @param crash receives the evidence of a new or changed crash and the current time
+	 * @param removed receives the request of a deleted row
 	 */
 	record News(BiConsumer<Evidence, Long> crash, Consumer<RequestDigest> removed) {
 	}
 
-	/** Takes news of the table. */
+	/** Applies changes of the stored table on the control thread. */
 	private final class Listener implements TableWatch.Listener {
 
 		@Override
