--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashTrials.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashTrials.java
@@ -21,13 +21,13 @@
 import org.rosemaryfront.program.ControlLoop;
 
 /**
- * The trials of requests that are held back: one for each request, for all gateways and
- * all their starts, since each is written down before the request is sent. Used on the
- * control thread.
+ * The probes of quarantined requests. Each request gets one probe across all gateways and
+ * their restarts, because the probe is recorded in the store before the request is sent.
+ * Confined to the control thread.
  */
 final class CrashTrials {
 
-	/** The pause behind a row that could not be deleted. */
+	/** The delay before a failed deletion of a row is retried. */
 	private static final Duration AGAIN = Duration.ofSeconds(1);
 
 	private final RowStore store;
@@ -36,16 +36,16 @@
 
 	private final ControlLoop control;
 
-	/** This start of this gateway. */
+	/** The name of this gateway process, unique to this start. */
 	private final String process;
 
-	/** Told when a trial was given, or given back. */
+	/** Called when the probe of a request was granted or given back. */
 	private final Consumer<RequestDigest> changed;
 
-	/** Which start of a gateway has, or had, the trial of a request. */
+	/** The gateway process that has, or had, the probe of each request. */
 	private final Map<RequestDigest, String> holders = new HashMap<>();
 
-	/** Trials that this process asked for and has not given back. */
+	/** Probes that this process claimed and has not given back. */
 	private final Set<RequestDigest> own = new HashSet<>();
 
 	CrashTrials(RowStore store, CrashTable table, ControlLoop control, String process,
@@ -58,9 +58,9 @@
 	}
 
 	/**
-	 * Asks for the trial of a request.
-	 * @param request the request
-	 * @param reply whether this gateway has it
+	 * Claims the probe of a request.
+	 * @param request the digest of the request
+	 * @param reply receives whether the claim was granted
 	 */
 	void claim(RequestDigest request, Consumer<Boolean> reply) {
 		if (!this.own.add(request)) {
@@ -93,8 +93,8 @@
 	}
 
 	/**
-	 * Gives the trial of a request back, which was not sent, or is not needed any more.
-	 * @param request the request
+	 * Gives back the probe of a request that was not sent or is no longer needed.
+	 * @param request the digest of the request
 	 */
 	void giveBack(RequestDigest request) {
 		this.own.remove(request);
@@ -106,8 +106,9 @@
 		});
 	}
 
-	// Guards the one trial of a request against the lost answer to a claim: its row can
-	// come seconds later, with nothing sent, and the request would stay held back.
+	// If the response to a claim is lost, its row can still appear seconds later although
+	// nothing was sent. Without giving that probe back, the request would stay
+	// quarantined.
 	private void giveBackUnused(RequestDigest request) {
 		boolean unused = this.process.equals(this.holders.get(request)) && !this.own.contains(request);
 		if (unused) {
@@ -122,9 +123,9 @@
 	// -- rows
 
 	/**
-	 * The store has the row of a trial.
-	 * @param request the request
-	 * @param holder which start of a gateway has the trial
+	 * Records that the store has the row of a probe.
+	 * @param request the digest of the request
+	 * @param holder the gateway process that has the probe
 	 */
 	void given(RequestDigest request, String holder) {
 		this.holders.put(request, holder);
@@ -134,8 +135,8 @@
 	}
 
 	/**
-	 * The store no longer has the row of a trial.
-	 * @param request the request
+	 * Records that the store no longer has the row of a probe.
+	 * @param request the digest of the request
 	 */
 	void gone(RequestDigest request) {
 		if (this.holders.remove(request) != null) {
@@ -145,8 +146,8 @@
 	}
 
 	/**
-	 * Forgets the trials whose rows are not in the store.
-	 * @param keys the keys of all rows
+	 * Removes the probes whose rows are not in the store.
+	 * @param keys the keys of all rows in the store
 	 */
 	void retain(Set<String> keys) {
 		List.copyOf(this.holders.keySet())
