--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayControl.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayControl.java
@@ -41,29 +41,34 @@
 import org.rosemaryfront.traffic.TrafficEvents;
 
 /**
- * Decides about calls, on the control thread, from the tables of servers, quotas and
- * retries.
+ * Admits, dispatches and retries calls according to the tables of servers, quotas and
+ * retries. Decisions are made on the control thread.
  */
 final class GatewayControl implements CallPolicy {
 
 	/**
-	 * The share of a server's connections that all gateways together use, so that
-	 * gateways that do not know of each other yet stay under the server's cap.
+	 * Fraction of a server's connection limit that all gateways together use, so that
+	 * gateways that have not learned of each other yet stay below the limit.
 	 */
 	private static final double CONNECTION_SHARE = 0.8;
 
 	/**
-	 * When to come back after a refusal for want of room, in milliseconds, least and
-	 * spread: about the time in which a slot comes free, and not all at once.
+	 * Minimum retry-after time of a refusal for lack of capacity, in milliseconds: about
+	 * the time until a slot becomes free. A random part below
+	 * {@link #FULL_RETRY_SPREAD_MILLIS} is added so that callers do not retry in one
+	 * burst.
 	 */
 	private static final long FULL_RETRY_MILLIS = 250;
 
 	private static final long FULL_RETRY_SPREAD_MILLIS = 500;
 
-	/** The part of the allowed retry share that is used; windows slide elsewhere. */
+	/**
+	 * Fraction of the allowed retry share that is used, because retries may be counted
+	 * over windows with other boundaries.
+	 */
 	private static final double RETRY_CAUTION = 0.8;
 
-	/** Servers that may be tried in vain without anything sent, for one call. */
+	/** Failed connection attempts, with nothing sent, after which a call is refused. */
 	private static final int UNSENT_MOST = 3;
 
 	private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
@@ -84,28 +89,31 @@
 
 	private final Rollouts rollouts;
 
-	/** Calls under way with what was decided about them. */
+	/** Calls in progress with the decisions made about them. */
 	private final Map<Call, CallProgress> calls = new IdentityHashMap<>();
 
 	private volatile Optional<TrafficConfiguration> configuration = Optional.empty();
 
-	/** Which calls are taken once a stop was asked for. */
+	/**
+	 * Determines which calls are accepted while the process stops; empty until a stop is
+	 * requested.
+	 */
 	private volatile Optional<StopTimes> stop = Optional.empty();
 
-	/** The servers that take calls; read by the traffic thread. */
+	/** The servers that accept calls; read on the traffic thread. */
 	private volatile Set<BackendServer.Start> takers = Set.of();
 
-	/** The store's version and the time of the last news of servers. */
+	/** The store version and the time of the last update of the server table. */
 	private long serversVersion;
 
 	private long serversNanos = System.nanoTime();
 
-	/** How old the knowledge of servers is. */
+	/** When the server table was last confirmed current. */
 	private final Freshness serversFreshness;
 
 	private int gateways;
 
-	/** The prompt tokens that calls sent to servers were expected to make them read. */
+	/** Total prompt tokens that the calls sent so far were expected to need prefilled. */
 	private long readingTokens;
 
 	GatewayControl(ControlLoop loop, BackendTable servers, GatewaySettings settings, QuotaTable quotas, Fleet fleet,
@@ -141,8 +149,8 @@
 		return this.stop.map((times) -> times.accepts(timeoutMillis(route), System.nanoTime())).orElse(true);
 	}
 
-	// A request without a route would be answered at once, but its connection is of no
-	// more use.
+	// A request without a route would be answered immediately, but its connection is of
+	// no further use.
 	private static long timeoutMillis(Optional<Route> route) {
 		return route.map(Route::timeoutMillis).orElse(Long.MAX_VALUE);
 	}
@@ -195,8 +203,8 @@
 					this.servers.ended(server.start(), false, now);
 					progress.ifPresent((known) -> this.guard.answered(call, server, known.sentNanos(), now));
 				}
-				// A server that is dark takes calls on connections that it had and
-				// lets them wait: only its silence shows it.
+				// An unresponsive server still accepts calls on open connections and
+				// never responds, so only missing responses reveal it.
 				case UNANSWERED -> {
 					this.servers.ended(server.start(), true, now);
 					this.rollouts.failed(call.service(), call.route().name(), server);
@@ -254,8 +262,8 @@
 		return choice;
 	}
 
-	// A refusal promises that the call did not run: a call that is sent again, and finds
-	// no server for that, may have run at the first one.
+	// A refusal guarantees that the call did not run. A call that finds no server for its
+	// retry may have run at the first one, so it is ended without that guarantee.
 	private static void unserved(Call call, CallProgress progress, long retryAfterMillis, Refusal refusal) {
 		if (progress.ran()) {
 			call.giveUp(refusal);
@@ -279,9 +287,9 @@
 	}
 
 	/**
-	 * What the engines of a service hold.
-	 * @param service the service
-	 * @return the tokens, 0 when it has no engines
+	 * Returns the KV cache capacity of an engine of a service.
+	 * @param service the name of the service
+	 * @return the capacity in tokens; 0 if the service has no engines
 	 */
 	long memoryTokens(String service) {
 		return engine(service).map(EngineSpec::kvTokens).orElse(0L);
@@ -345,8 +353,9 @@
 		}
 	}
 
-	// Why the call is not sent again, empty when it may be. A call that may have run goes
-	// out again only if running twice does no harm.
+	// Returns why a call must not be retried, empty if it may be. A call that may have
+	// run is retried only if its route is repeatable, that is, running it twice does no
+	// harm.
 	private Optional<Cause> refusal(Call call, CallProgress progress, Failure failure, boolean notRun, long now) {
 		if (!failure.sent()) {
 			progress.notSent();
@@ -385,14 +394,14 @@
 	}
 
 	/**
-	 * When to come back to a gateway that cannot send a call now.
-	 * @return the time in milliseconds, spread
+	 * Returns the retry-after time for a call that cannot be sent now.
+	 * @return the time in milliseconds, randomised
 	 */
 	static long fullRetryMillis() {
 		return FULL_RETRY_MILLIS + ThreadLocalRandom.current().nextLong(FULL_RETRY_SPREAD_MILLIS);
 	}
 
-	// -- news, on the control thread
+	// -- updates, on the control thread
 
 	void configuration(TrafficConfiguration newer) {
 		long known = this.configuration.map(TrafficConfiguration::version).orElse(Long.MIN_VALUE);
@@ -410,14 +419,14 @@
 		serversChanged();
 	}
 
-	/** Which servers take calls may be others than before. */
+	/** Refreshes the set of servers that accept calls. */
 	void serversChanged() {
 		this.takers = this.servers.takers();
 	}
 
 	/**
-	 * Ends the calls of servers that started again: their answers will never come, on
-	 * connections that may stay silent until the caller's time is over.
+	 * Ends the calls of servers that restarted. Their responses will never arrive, and
+	 * their connections may stay open without data until the calls time out.
 	 */
 	void dropCallsOfEarlierStarts() {
 		this.calls.forEach((call, progress) -> progress.server()
@@ -428,9 +437,9 @@
 	}
 
 	/**
-	 * Ends the copies of a request that is held back from now on, also those that wait at
-	 * a server for their turn: each would crash one more. The one on trial stays.
-	 * @param request the request
+	 * Ends all copies of a request that was quarantined, including copies queued at a
+	 * server, because each would crash another server. The probe is not ended.
+	 * @param request the digest of the request
 	 */
 	void withdraw(RequestDigest request) {
 		this.guard.copies(request, this.calls.keySet())
@@ -438,18 +447,19 @@
 	}
 
 	/**
-	 * Finds out whether a server lives, by a new connection.
+	 * Checks whether a server is alive by opening a new connection to it.
 	 * @param server the server
-	 * @param gateway makes the connection
-	 * @param reply gets whether it lives
+	 * @param gateway opens the connection
+	 * @param reply receives whether the server is alive
 	 */
 	void ask(BackendServer server, Gateway gateway, Consumer<Boolean> reply) {
 		gateway.ask(server, mostConnections(server.service()), reply);
 	}
 
 	/**
-	 * Takes how many gateways share connections to servers and retries.
-	 * @param count the gateways that may serve callers, heard or not
+	 * Sets the number of gateways that share the connections to servers and the retries.
+	 * @param count the number of gateways that may serve callers, whether or not their
+	 * reports are received
 	 */
 	void gateways(int count) {
 		this.gateways = count;
@@ -457,8 +467,8 @@
 	}
 
 	/**
-	 * A stop was asked for.
-	 * @param times which calls are taken from now on
+	 * Starts the stop of this process.
+	 * @param times determines which calls are accepted from now on
 	 */
 	void stop(StopTimes times) {
 		this.stop = Optional.of(times);
