--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PauseWatch.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PauseWatch.java
@@ -3,18 +3,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells from two clocks whether this process stood still since the last look. The
- * monotonic clock goes on while a process is paused, and not while its VM is suspended;
- * the time of day goes on in both cases.
+ * Detects from two clocks whether this process was paused or its VM suspended since the
+ * last check. The monotonic clock advances while a process is paused but not while its VM
+ * is suspended; the time of day advances in both cases.
  */
 final class PauseWatch {
 
-	/** A pause beyond this is worth a line of the log, in milliseconds. */
+	/** Process pauses longer than this are reported, in milliseconds. */
 	private static final long PAUSE_MILLIS = 700;
 
 	/**
-	 * The time of day went on so much longer than the monotonic clock, in milliseconds:
-	 * more than the time of day is set by at a time.
+	 * Difference by which the time of day must advance more than the monotonic clock to
+	 * show a suspension, in milliseconds; larger than a single clock adjustment.
 	 */
 	private static final long SUSPENDED_MILLIS = 500;
 
@@ -28,10 +28,10 @@
 	}
 
 	/**
-	 * Looks at the clocks.
-	 * @param nowNanos the monotonic clock, in nanoseconds
-	 * @param epochMillis the time of day, in milliseconds
-	 * @return what happened since the last look
+	 * Compares both clocks with their values at the last check.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @param epochMillis the time of day, in milliseconds since 1970
+	 * @return what happened since the last check
 	 */
 	Finding look(long nowNanos, long epochMillis) {
 		long monotonicMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - this.lookedNanos);
@@ -45,28 +45,28 @@
 		return (millis > PAUSE_MILLIS) ? new Finding.Paused(millis, monotonicMillis) : new Finding.Running();
 	}
 
-	/** What happened between two looks. */
+	/** What happened between two checks. */
 	sealed interface Finding {
 
-		/** The process ran. */
+		/** The process ran without a notable pause. */
 		record Running() implements Finding {
 		}
 
 		/**
-		 * The process stood still, and its monotonic clock went on.
+		 * The process was paused while its monotonic clock advanced.
 		 *
-		 * @param millis for how long, in milliseconds
-		 * @param monotonicMillis the same by the monotonic clock
+		 * @param millis the duration, in milliseconds
+		 * @param monotonicMillis the duration on the monotonic clock, in milliseconds
 		 */
 		record Paused(long millis, long monotonicMillis) implements Finding {
 		}
 
 		/**
-		 * The VM was suspended: terms that this process counts on its monotonic clock are
-		 * over although they do not look so.
+		 * The VM was suspended: leases that this process times on its monotonic clock may
+		 * have expired although that clock does not show it.
 		 *
-		 * @param millis for how long, in milliseconds
-		 * @param monotonicMillis the same by the monotonic clock
+		 * @param millis the duration, in milliseconds
+		 * @param monotonicMillis the duration on the monotonic clock, in milliseconds
 		 */
 		record Suspended(long millis, long monotonicMillis) implements Finding {
 		}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/StopTimes.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/StopTimes.java
@@ -3,26 +3,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Which calls a process takes while it stops: all as long as callers may still be sent
- * here, then those that end before the process does. Times are on the monotonic clock, in
- * nanoseconds.
+ * Determines which calls a process accepts while it stops: all calls while callers may
+ * still be directed to it, then only calls that finish before the process ends. Times are
+ * on the monotonic clock, in nanoseconds.
  *
- * @param openUntilNanos until when all calls are taken
+ * @param openUntilNanos until when all calls are accepted
  * @param endsNanos when the process ends
  */
 record StopTimes(long openUntilNanos, long endsNanos) {
 
 	/**
-	 * What the answer of a call's timeout takes to reach its caller, in milliseconds.
+	 * Time that the response to a timed-out call takes to reach its caller, in
+	 * milliseconds.
 	 */
 	private static final long END_MARGIN_MILLIS = 200;
 
 	/**
-	 * The times of a stop. They are fixed when the signal comes: set at the next look at
-	 * what is left, up to 50 ms later, they let a call through that was cut at the end.
-	 * @param signalNanos when the signal came
-	 * @param openMillis how long all calls are taken, in milliseconds
-	 * @param endsMillis how long the process has, in milliseconds
+	 * Creates the times of a stop from the time of the signal. Taken from the next check
+	 * of the remaining calls instead, up to 50 ms later, they would admit a call that is
+	 * cut off when the process ends.
+	 * @param signalNanos when the signal arrived
+	 * @param openMillis how long all calls are accepted after the signal, in milliseconds
+	 * @param endsMillis how long the process runs after the signal, in milliseconds
 	 * @return the times
 	 */
 	static StopTimes of(long signalNanos, long openMillis, long endsMillis) {
@@ -31,7 +33,7 @@
 	}
 
 	/**
-	 * The same with an earlier end.
+	 * Returns these times with an earlier end.
 	 * @param nanos when the process ends
 	 * @return the times
 	 */
@@ -40,10 +42,10 @@
 	}
 
 	/**
-	 * Whether a call is taken.
-	 * @param timeoutMillis how long it may take, in milliseconds
-	 * @param nowNanos the time
-	 * @return false when the process may end before it
+	 * Returns whether a call is accepted.
+	 * @param timeoutMillis the timeout of the call, in milliseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return false if the process may end before the call does
 	 */
 	boolean accepts(long timeoutMillis, long nowNanos) {
 		long leftMillis = TimeUnit.NANOSECONDS.toMillis(this.endsNanos - nowNanos) - END_MARGIN_MILLIS;
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PauseWatchTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PauseWatchTests.java
@@ -11,9 +11,10 @@
 
 	private static final long EPOCH = 1_770_000_000_000L;
 
-	// A VM that held the duties was suspended for seconds, and another gateway took them.
-	// Awake again, it went on under its old number: its term, counted on a clock that
-	// stood still as well, was not over.
+	// Guards against a gateway that continues with an expired lease: its VM was suspended
+	// for seconds and another gateway took over the duties. After the VM resumed, it
+	// acted under its old fencing number, because the monotonic clock that times its
+	// lease had been stopped as well.
 	@ParameterizedTest
 	@CsvSource({ "50, 50, Running", "3000, 3000, Paused", "50, 3050, Suspended", "3000, 6000, Suspended",
 			"50, -1950, Running", "650, 1200, Suspended", "50, 400, Running" })
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/StopTimesTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/StopTimesTests.java
@@ -12,9 +12,10 @@
 
 	private static final long SIGNAL = 1_000_000_007L;
 
-	// A chat of fifteen seconds began 14 ms behind the three seconds for which a stopping
-	// process takes all calls, and was cut off by the end of the process 4.7 s later: it
-	// was looked at every 50 ms only whether the three seconds were over.
+	// Guards against accepting a call that outlasts the process. A chat call of 15
+	// seconds was accepted 14 ms after the three seconds in which a stopping process
+	// accepts all calls, and was cut off when the process ended 4.7 seconds later,
+	// because the end of the three seconds was checked only every 50 ms.
 	@ParameterizedTest
 	@CsvSource({ "0, 15000, true", "2999, 15000, true", "3000, 15000, false", "3014, 15000, false", "3000, 4400, true",
 			"3014, 4400, false", "7300, 100, true", "7301, 100, false" })
