--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RolloutDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RolloutDuty.java
@@ -27,9 +27,10 @@
 import org.rosemaryfront.rollout.RolloutPlan;
 
 /**
- * Carries roll-outs on, as the holder of the duties. How far each is stands in a row of
- * its own, written under a condition before any gateway hears of it, so that a successor
- * goes on from there and two holders cannot differ. Used on the control thread.
+ * Advances roll-outs at the gateway that holds the duties. The state of each roll-out is
+ * stored in its own row by a conditional write before it is sent to any gateway, so that
+ * a successor continues from it and two holders cannot diverge. Confined to the control
+ * thread.
  */
 final class RolloutDuty {
 
@@ -53,7 +54,7 @@
 
 	private final Consumer<Runnable> control;
 
-	/** What this process knows of the rows since it holds the duties, by service. */
+	/** Cached state of the rows since this process took over the duties, by service. */
 	private final Map<String, Work> works = new HashMap<>();
 
 	RolloutDuty(RowStore store, RecordCodec records, Rollouts rollouts, BackendTable servers,
@@ -65,15 +66,15 @@
 		this.control = control;
 	}
 
-	/** Another process may write the rows from now on. */
+	/** Drops the cached state, because another process may write the rows from now on. */
 	void pause() {
 		this.works.clear();
 	}
 
 	/**
-	 * Carries all roll-outs on by a step.
+	 * Advances each roll-out by at most one step.
 	 * @param epochMillis the time of day, in milliseconds since 1970
-	 * @param now the time
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void act(long epochMillis, long now) {
 		this.rollouts.table().all().forEach((rollout) -> {
@@ -85,9 +86,9 @@
 	}
 
 	/**
-	 * How far the roll-out of a service is.
-	 * @param service the service
-	 * @return the phase that is written, empty when this process does not know it
+	 * Returns the phase of a service's roll-out.
+	 * @param service the name of the service
+	 * @return the phase in the store; empty if this process has not read it
 	 */
 	Optional<Phase> phase(String service) {
 		return Optional.ofNullable(this.works.get(service)).flatMap((work) -> work.state).map(State::phase);
@@ -142,7 +143,7 @@
 		return new RolloutPlan.Servers(fresh, stay.size() - fresh, oldCalls);
 	}
 
-	// -- the row of its own
+	// -- the state row
 
 	private void load(Work work, String service) {
 		work.busy = true;
@@ -173,7 +174,8 @@
 		}), (failure) -> failed(work, service, "write", failure));
 	}
 
-	// It may have taken effect or do so later: it is read before anything else.
+	// A failed write may have taken effect or may do so later, so the row is read again
+	// first.
 	private void failed(Work work, String row, String call, Throwable failure) {
 		this.control.accept(() -> {
 			RowLog.failed(row, call, failure);
@@ -210,31 +212,31 @@
 		}
 	}
 
-	/** What is known of the rows of a service. */
+	/** Cached state of the rows of a service. */
 	private static final class Work {
 
-		/** Whether a call to the store is under way. */
+		/** Whether a request to the store is in progress. */
 		private boolean busy;
 
-		/** Whether the row was read. */
+		/** Whether the state row was read. */
 		private boolean loaded;
 
 		private long version;
 
 		private Optional<State> state = Optional.empty();
 
-		/** What the operator's row holds, empty when that is not known. */
+		/** The value last written to the operator's row; empty if not known. */
 		private Optional<byte[]> told = Optional.empty();
 
 	}
 
 	/**
-	 * How far a roll-out is, as it stands in the store.
+	 * The stored state of a roll-out.
 	 *
-	 * @param to the version that the service is moved to
+	 * @param to the candidate version
 	 * @param number the number of the order
-	 * @param sinceMillis when the order was seen, in milliseconds since 1970
-	 * @param phase how far it is
+	 * @param sinceMillis when the order was first seen, in milliseconds since 1970
+	 * @param phase the current phase
 	 */
 	private record State(String to, long number, long sinceMillis, Phase phase) {
 
@@ -253,7 +255,7 @@
 
 		private static Optional<State> read(Row row, String service) {
 			try {
-				JsonNode node = RowJson.tree(row.value().orElseThrow(), "the roll-out of " + service);
+				JsonNode node = RowJson.tree(row.value().orElseThrow(), "roll-out state of " + service);
 				return Optional.of(new State(node.path(TO).asText(), node.path(NUMBER).asLong(),
 						node.path(SINCE).asLong(), Phase.valueOf(node.path(PHASE).asText())));
 			}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/Rollouts.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/Rollouts.java
@@ -23,8 +23,9 @@
 import org.rosemaryfront.rollout.Versions;
 
 /**
- * The roll-outs that this gateway knows of: where calls may go meanwhile, and what is
- * told of them to other gateways. Used on the control thread.
+ * The roll-outs that this gateway has received: which servers calls may go to during a
+ * roll-out, and the updates exchanged with other gateways. Confined to the control
+ * thread.
  */
 final class Rollouts {
 
@@ -34,7 +35,7 @@
 
 	private final DoubleSupplier draw;
 
-	/** Tells this start of this gateway apart. */
+	/** The name of this gateway process, unique to this start. */
 	private final String self;
 
 	private final Map<String, LatencyReference> references = new HashMap<>();
@@ -56,7 +57,8 @@
 		}
 	}
 
-	// Servers of a version whose order was withdrawn before it succeeded get no calls.
+	// Servers of a candidate version whose order was withdrawn before it succeeded get no
+	// calls.
 	void withdrawn(String service, long now) {
 		this.table.find(service)
 			.filter((rollout) -> rollout.said(Phase.ROLLED_BACK, now))
@@ -72,10 +74,10 @@
 	// -- calls
 
 	/**
-	 * Which servers a call may go to.
-	 * @param service the service
-	 * @param again whether the call was sent before
-	 * @param now the time
+	 * Returns which versions may serve a call.
+	 * @param service the name of the service
+	 * @param again whether the call is a retry
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 * @return the rules in the order in which they are tried
 	 */
 	List<Versions> versions(String service, boolean again, long now) {
@@ -85,11 +87,12 @@
 	}
 
 	/**
-	 * The first token of a call came, or its answer.
-	 * @param service its service
-	 * @param route the name of its route
-	 * @param server the start of its server
-	 * @param ratio how long it took, against what was expected where something was
+	 * Records the first token of a call or its response.
+	 * @param service the name of the service
+	 * @param route the name of the route
+	 * @param server the server process
+	 * @param ratio the ratio of measured to expected time, each plus one millisecond,
+	 * with 0 expected where there was no expectation
 	 */
 	void began(String service, String route, BackendServer.Start server, double ratio) {
 		underWay(service).ifPresent((rollout) -> this.servers.find(server.id()).ifPresent((known) -> {
@@ -99,9 +102,9 @@
 	}
 
 	/**
-	 * A server failed a call, or did not answer it.
-	 * @param service its service
-	 * @param route the name of its route
+	 * Records that a server failed a call or did not respond to it.
+	 * @param service the name of the service
+	 * @param route the name of the route
 	 * @param server the server
 	 */
 	void failed(String service, String route, BackendServer server) {
@@ -113,9 +116,10 @@
 	}
 
 	/**
-	 * Whether a server has a part in what its service can serve now.
+	 * Returns whether a server counts towards the current capacity of its service.
 	 * @param server the server
-	 * @return false for one of a version that has not got the service
+	 * @return false if the calls of the service have not been moved to the server's
+	 * version
 	 */
 	boolean counts(BackendServer server) {
 		return this.table.find(server.service()).map((rollout) -> {
@@ -131,11 +135,11 @@
 	// -- other gateways
 
 	/**
-	 * What is told to the other gateways.
-	 * @param phases how far the holder of the duties says that the roll-out of a service
-	 * is; empty at all others
-	 * @param now the time
-	 * @return the news
+	 * Returns the updates for the other gateways.
+	 * @param phases the phase of a service's roll-out, if this gateway holds the duties;
+	 * empty at all other gateways
+	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @return the updates
 	 */
 	List<RolloutNews> news(Function<String, Optional<Phase>> phases, long now) {
 		List<RolloutNews> news = new ArrayList<>();
@@ -171,16 +175,16 @@
 	}
 
 	/**
-	 * Takes what another gateway tells.
-	 * @param process the start of the gateway
-	 * @param news what it tells
-	 * @param now the time
+	 * Applies updates received from another gateway.
+	 * @param process the sending gateway process
+	 * @param news the updates
+	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void heard(String process, List<RolloutNews> news, long now) {
 		news.forEach((told) -> heard(process, told, now));
 	}
 
-	// Also a gateway that the store turns away learns of the order in this way.
+	// A gateway whose requests the store rejects also learns of the order this way.
 	private void heard(String process, RolloutNews told, long now) {
 		ordered(new RolloutOrder(told.getService(), told.getTo(), told.getDurationMillis(), told.getNumber()));
 		Rollout rollout = this.table.find(told.getService()).orElseThrow();
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RowJson.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RowJson.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
-/** The JSON of the rows that gateways write. */
+/** Reads and writes the JSON values of the rows that gateways store. */
 final class RowJson {
 
 	private static final JsonMapper MAPPER = JsonMapper.builder().build();
@@ -15,9 +15,9 @@
 	}
 
 	/**
-	 * Writes a row's value.
+	 * Writes the value of a row.
 	 * @param value the value
-	 * @return its bytes
+	 * @return the JSON as bytes
 	 */
 	static byte[] write(Object value) {
 		try {
@@ -29,13 +29,13 @@
 	}
 
 	/**
-	 * Reads a row's value.
+	 * Reads the value of a row.
 	 * @param <T> the type of the value
-	 * @param bytes the bytes
+	 * @param bytes the JSON as bytes
 	 * @param type the type of the value
-	 * @param row names the row in the error
+	 * @param row a description of the row for the error message
 	 * @return the value
-	 * @throws IllegalStateException when it cannot be read
+	 * @throws IllegalStateException if the JSON cannot be parsed
 	 */
 	static <T> T read(byte[] bytes, TypeReference<T> type, String row) {
 		try {
@@ -47,11 +47,11 @@
 	}
 
 	/**
-	 * Reads a row's value as a document.
-	 * @param bytes the bytes
-	 * @param row names the row in the error
-	 * @return the document
-	 * @throws IllegalStateException when it cannot be read
+	 * Reads the value of a row as a JSON tree.
+	 * @param bytes the JSON as bytes
+	 * @param row a description of the row for the error message
+	 * @return the root of the tree
+	 * @throws IllegalStateException if the JSON cannot be parsed
 	 */
 	static JsonNode tree(byte[] bytes, String row) {
 		try {
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RolloutDutyTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RolloutDutyTests.java
@@ -32,8 +32,8 @@
 		}
 	}
 
-	// A bad version would go on to fail its part of the calls, and all of them at the
-	// end.
+	// Without a rollback a failing version would keep failing its share of the calls, and
+	// in the end all of them.
 	@Test
 	void shouldTakeVersionBackThatFailsCalls() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
@@ -51,9 +51,8 @@
 		}
 	}
 
-	// Nobody has judged a version without an order in force: its servers get no calls
-	// once
-	// the order is withdrawn.
+	// A version without an order in force is not evaluated, so its servers must get no
+	// calls once the order is withdrawn.
 	@Test
 	void shouldSendNothingToVersionWhoseOrderWasWithdrawn() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
