--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashingRequestTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashingRequestTests.java
@@ -18,27 +18,27 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-// Quotes, chats and bookings failed for seconds at a time, and one server after the other
-// was lost. One caller's request crashed each server that began to run it; the caller sent it
-// again, under a new id, through any gateway. Nothing but the id named a request, so that
-// each gateway took each copy for a first one and sent it to the next server: twenty
-// servers were lost to one request on nine gateways. Sixteen sendings of one request,
-// under as many ids, stood in the logs, each with a connection that broke off and a
-// server that took no new one; here nine of nine more copies were sent.
+// Guards against one request crashing server after server. The caller retries it under a
+// new id through any gateway. While requests were identified by that id alone, each
+// gateway treated every copy as a first attempt and sent it to the next server: nine
+// gateways lost twenty servers to one request, and quotes, chats and bookings failed for
+// seconds at a time. The logs showed sixteen copies under as many ids, each with a broken
+// connection and a server that accepted no new one. Without the quarantine all nine
+// repeated copies of this test are sent.
 class CrashingRequestTests {
 
 	private static final int GATEWAYS = 3;
 
-	/** After this time gateways have learned what others saw, in milliseconds. */
+	/** Time within which gateways receive the updates of the others, in milliseconds. */
 	private static final long CONTACT_MILLIS = 3_000;
 
-	/** Servers that may be lost to one request before it is held back. */
+	/** Servers that a request may crash before it is quarantined. */
 	private static final int LOST = 3;
 
-	/** Sendings that may follow, by all gateways together. */
+	/** Copies that all gateways together may still send after that. */
 	private static final int MORE = 3;
 
-	/** How often the request comes again at each gateway behind that. */
+	/** Further copies of the request that each gateway receives. */
 	private static final int REPEATS = 3;
 
 	private final MemoryRowStore store = new MemoryRowStore();
@@ -60,8 +60,8 @@
 		this.servers.close();
 	}
 
-	// The answer to the request that is held back is true, final and comes with a time;
-	// other requests of its caller are served.
+	// The refusal of the quarantined request carries a retry time, and other requests of
+	// its caller are still served.
 	@ParameterizedTest
 	@ValueSource(strings = { "/drafts/", "/sheets/", "/visits/", "/summaries/" })
 	void shouldHoldBackRequestUnderWhichServersCrash(String path) throws IOException {
@@ -74,7 +74,7 @@
 		assertThat(ask(0, path, "other").status()).isEqualTo(200);
 	}
 
-	// The gateways do not hear one another; each reaches the store.
+	// The gateways cannot exchange reports; each reaches the store.
 	@Test
 	void shouldHoldBackRequestWhenGatewaysReachOnlyTheStore() throws IOException {
 		for (int i = 1; i <= GATEWAYS; i++) {
@@ -86,7 +86,8 @@
 		assertThat(sendingsOfRepeats("/drafts/")).isLessThanOrEqualTo(MORE);
 	}
 
-	// All processes are killed once the servers are lost; none can write at its end.
+	// All processes are killed after the crashes, and none can write to the store on
+	// shutdown.
 	@Test
 	void shouldHoldBackRequestOverKillOfAllProcesses() throws IOException {
 		loseServers("/drafts/");
@@ -99,8 +100,8 @@
 		assertThat(sendingsOfRepeats("/drafts/")).isLessThanOrEqualTo(MORE);
 	}
 
-	// An operator who mended the servers releases the request at one gateway, with its
-	// digest from the list; it is served through each of them.
+	// After the servers are repaired, an operator releases the request at one gateway by
+	// the digest from the list; all gateways serve it again.
 	@Test
 	void shouldServeRequestAgainWhenOperatorReleasesIt() throws IOException {
 		loseServers("/drafts/");
@@ -115,9 +116,9 @@
 		}
 	}
 
-	// An availability zone loses power under a request that many ask for, at each of its
-	// servers. The one copy that is sent on trial finds no server at first, and counts
-	// only once a server got it.
+	// An availability zone loses power while each of its servers runs a copy of the same
+	// request. The probe finds no server at first and is used up only once a server has
+	// received it.
 	@Test
 	void shouldServeInnocentRequestBehindItsTrial() throws IOException {
 		loseServersAtOnce("/drafts/");
@@ -207,7 +208,7 @@
 		}
 	}
 
-	/** Backend servers that one body crashes; others start in their places. */
+	/** Backend servers that crash under one request body and are replaced. */
 	private static final class CrashableServers {
 
 		static final String CRASHING = "crashing";
@@ -220,7 +221,7 @@
 
 		private final List<String> living = new ArrayList<>();
 
-		/** Lost, and registered until others take their places. */
+		/** Crashed servers that stay registered until they are replaced. */
 		private final List<String> lapsing = new ArrayList<>();
 
 		private volatile boolean crashing = true;
@@ -233,7 +234,7 @@
 			this.store = store;
 		}
 
-		/** Starts servers until there are enough. */
+		/** Starts servers until {@link #COUNT} are running. */
 		synchronized void fill() {
 			forgetLost();
 			while (this.living.size() < COUNT) {
@@ -256,7 +257,7 @@
 			}
 		}
 
-		/** From now on servers crash only once each of them has the request. */
+		/** Makes the servers crash only after each of them has received the request. */
 		void crashTogether() {
 			this.together = true;
 		}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultyServerTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultyServerTests.java
@@ -35,9 +35,8 @@
 
 	// -- connections
 
-	// Guards against connections that stay open and carry nothing: each of those that
-	// were
-	// kept took one call to its timeout.
+	// Guards against pooled connections that stay open but carry no data: each of them
+	// cost one call its timeout.
 	@Test
 	void shouldLoseOneCallOnlyWhenConnectionsToServerFallSilent() throws Exception {
 		CountDownLatch both = new CountDownLatch(2);
@@ -77,10 +76,10 @@
 		}
 	}
 
-	// -- what may run twice
+	// -- retries
 
-	// A booking was sent and its answer lost. Sent again, two crews turn up; answered
-	// "not run", the caller books again with the same effect.
+	// A booking was sent and its response lost. A retry would send two crews; a "not run"
+	// response would make the caller book again, with the same effect.
 	@ParameterizedTest
 	@ValueSource(strings = { "reset", "close", "half" })
 	void shouldNeverRepeatBookingThatMayHaveRun(String end) throws IOException {
@@ -151,8 +150,9 @@
 		}
 	}
 
-	// A call fails at the only server of its service and may be sent again, but there is
-	// nowhere to send it. Told that it did not run, its caller would take it for undone.
+	// A repeatable call fails at the only server of its service, so there is no server
+	// for the retry. If the gateway responded "not run", the caller would wrongly assume
+	// that the call had no effect.
 	@Test
 	void shouldNotSayNotRunWhenCallRanAndNoOtherServerIsLeft() throws IOException {
 		try (ScriptedServer server = this.gateway
@@ -176,9 +176,9 @@
 		}
 	}
 
-	// A server went dark: it takes calls on the connections that it had and never
-	// answers. Without a look at its silence every second call waits there until its
-	// time is over.
+	// An unresponsive server accepts calls on open connections and never responds. If
+	// missing responses were not counted, every second call would wait there until its
+	// timeout.
 	@Test
 	void shouldAvoidServerThatLetsCallsWait() throws IOException {
 		try (ScriptedServer _ = this.gateway.serving((_, exchange) -> exchange.hold());
@@ -193,10 +193,10 @@
 		}
 	}
 
-	// -- whose answer it is
+	// -- matching responses to calls
 
-	// A faulty server sends a second answer behind a good one. Taken for the answer of
-	// the next call, a household reads another's booking.
+	// A faulty server sends an extra response after a valid one. Treated as the response
+	// to the next call, it would show one household the booking of another.
 	@Test
 	void shouldNeverTakeExtraAnswerForTheNextCall() throws Exception {
 		try (ScriptedServer _ = this.gateway.serving((request, exchange) -> {
@@ -210,7 +210,7 @@
 		}
 	}
 
-	// The extra answer comes late, just where the next one is awaited.
+	// The extra response arrives late, while the next one is awaited.
 	@Test
 	void shouldSkipAnswerThatNamesAnotherCall() throws IOException {
 		try (ScriptedServer _ = this.gateway.serving((request, exchange) -> {
@@ -232,8 +232,8 @@
 		}
 	}
 
-	// An answer without a length ends with its connection; after a reset bytes may be
-	// missing, and what is there looks whole.
+	// A response without a length ends when its connection is closed. After a reset bytes
+	// may be missing although the response looks complete.
 	@ParameterizedTest
 	@CsvSource({ "close, 200", "reset, 502" })
 	void shouldTakeAnswerWithoutLengthOnlyFromCleanEnd(String end, int status) throws IOException {
