--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PassingThroughTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PassingThroughTests.java
@@ -34,7 +34,7 @@
 		this.gateway.close();
 	}
 
-	// -- a good call
+	// -- successful calls
 
 	@Test
 	void shouldPassOnMethodPathBodyAndAnswerUnchanged() throws IOException {
@@ -53,8 +53,8 @@
 		}
 	}
 
-	// A caller leaves while its request waits unread at a busy gateway; the request went
-	// to a server all the same.
+	// Guards against sending a request to a server although its caller disconnected while
+	// the request was unread at a busy gateway.
 	@Test
 	void shouldNotSendRequestWhoseCallerLeftBeforeItWasRead() throws Exception {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "x"));
@@ -120,8 +120,8 @@
 
 	// -- refusals
 
-	// The first callers come before the configuration does. A 404 would tell them that
-	// their route does not exist, and they would not come back.
+	// The first calls arrive before the configuration is read. A 404 would say that their
+	// route does not exist, and the callers would not retry.
 	@Test
 	void shouldTellToComeBackWhileNoConfigurationIsKnown() throws IOException {
 		Answer answer = this.gateway.ask(RawCaller.get("c1", "/sheets/"));
@@ -130,8 +130,9 @@
 		assertThat(this.gateway.readiness()).isEqualTo(503);
 	}
 
-	// The time of a request that waits behind another one on the same connection runs
-	// from its arrival: told the whole of it, the server works on after its caller left.
+	// The timeout of a request queued behind another one on the same connection runs from
+	// its arrival. If the server were given the full timeout, it would go on working
+	// after the caller left.
 	@Test
 	void shouldCountTimeThatRequestWaitedBehindAnother() throws IOException {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> {
@@ -178,8 +179,8 @@
 		}
 	}
 
-	// A request hides another one in its body: the gateway reads one request, the server
-	// two, and the second runs with nobody's key checked.
+	// Guards against request smuggling: the gateway reads one request, the server two,
+	// and the second runs without a check of its key.
 	@ParameterizedTest
 	@ValueSource(strings = { "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "Content-Length: 5, 6\r\n",
 			"Content-Length: 5\r\nContent-Length: 6\r\n", "Transfer-Encoding: gzip, chunked\r\n",
@@ -242,8 +243,8 @@
 		}
 	}
 
-	// A server stops in the middle of an event. The answer goes on at another server: the
-	// caller must see each event once, none of them in two halves.
+	// A server fails in the middle of an event and the response is resumed at another
+	// server. The caller must receive each event exactly once and whole.
 	@Test
 	void shouldGoOnAtAnotherServerWithinTheSameAnswer() throws IOException {
 		AtomicInteger runs = new AtomicInteger();
@@ -270,8 +271,8 @@
 		}
 	}
 
-	// A stream that may not be resumed breaks: its caller must not take the half of it
-	// for the whole.
+	// A stream that must not be resumed breaks. The caller must not mistake the partial
+	// response for a complete one.
 	@Test
 	void shouldNotLetBrokenStreamLookComplete() throws IOException {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> {
@@ -284,10 +285,10 @@
 		}
 	}
 
-	// -- callers that leave
+	// -- callers that disconnect
 
-	// A caller left; its call goes on at the server for nobody and holds a slot that
-	// others wait for.
+	// Guards against calls that go on at a server after the caller disconnected and hold
+	// a slot that other calls wait for.
 	@ParameterizedTest
 	@ValueSource(strings = { "/sheets/", "/visits/", "/drafts/" })
 	void shouldEndCallAtServerWhenCallerLeaves(String path) throws Exception {
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RawCaller.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RawCaller.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** A caller that writes bytes and reads what comes. */
+/** A caller that writes raw bytes to a gateway and reads its responses. */
 final class RawCaller implements AutoCloseable {
 
 	private static final int READ_MILLIS = 8_000;
@@ -34,8 +34,8 @@
 	}
 
 	/**
-	 * Reads one answer.
-	 * @return the answer; {@code whole} is false when the connection ended within it
+	 * Reads one response.
+	 * @return the response; {@code whole} is false if the connection ended within it
 	 */
 	Answer read() throws IOException {
 		InputStream in = this.socket.getInputStream();
@@ -98,15 +98,15 @@
 	}
 
 	/**
-	 * Reads until a whole event came.
-	 * @return the bytes so far
+	 * Reads until a complete event has arrived.
+	 * @return the text read so far
 	 */
 	String readSome() throws IOException {
 		StringBuilder bytes = new StringBuilder();
 		while (bytes.indexOf("\n\n") < 0) {
 			int next = this.socket.getInputStream().read();
 			if (next < 0) {
-				throw new IOException("the connection ended after " + bytes);
+				throw new IOException("connection ended after: " + bytes);
 			}
 			bytes.append((char) next);
 		}
@@ -114,8 +114,8 @@
 	}
 
 	/**
-	 * Whether the gateway closed the connection.
-	 * @return true at the end of the connection, false when bytes came
+	 * Returns whether the gateway closed the connection.
+	 * @return true at the end of the connection, false if data arrived
 	 */
 	boolean isClosed() {
 		return readOrEnd(inputOrEnd()) < 0;
@@ -136,11 +136,11 @@
 	}
 
 	/**
-	 * An answer.
+	 * A response.
 	 *
-	 * @param head the line and the headers
+	 * @param head the status line and the headers
 	 * @param body the body
-	 * @param whole whether it came to its end
+	 * @param whole whether the response is complete
 	 */
 	record Answer(String head, String body, boolean whole) {
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ScriptedServer.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ScriptedServer.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A backend server that does with each request what its script says, down to the bytes
- * and the way its connection ends.
+ * A backend server whose script determines the response to each request, down to the
+ * bytes and how the connection is closed.
  */
 final class ScriptedServer implements AutoCloseable {
 
@@ -55,7 +55,7 @@
 	}
 
 	/**
-	 * The requests that came, whole.
+	 * Returns the complete requests received.
 	 * @return the requests in order
 	 */
 	List<Request> requests() {
@@ -67,7 +67,7 @@
 	}
 
 	/**
-	 * Waits until the other end closed a connection.
+	 * Waits until the peer closes a connection.
 	 * @return whether it did within five seconds
 	 */
 	boolean awaitLeft() throws InterruptedException {
@@ -78,8 +78,8 @@
 	public void close() {
 		try {
 			this.listener.close();
-			// Until its thread has ended, the listener takes connections that nobody
-			// reads.
+			// Until this thread has ended, the listener accepts connections that are
+			// never served.
 			this.accepting.join();
 			for (Socket socket : this.sockets) {
 				socket.close();
@@ -122,7 +122,7 @@
 			}
 		}
 		catch (IOException ex) {
-			// The other end left, which is what some tests wait for.
+			// The peer closed the connection, as some tests expect.
 		}
 		finally {
 			this.left.countDown();
@@ -145,7 +145,7 @@
 		return new Request(head.toString(), body);
 	}
 
-	/** What a server does with a request. */
+	/** Handles a request on its connection. */
 	interface Script {
 
 		void answer(Request request, Exchange exchange) throws IOException;
@@ -153,9 +153,9 @@
 	}
 
 	/**
-	 * A request as it came.
+	 * A request as received.
 	 *
-	 * @param head the line and the headers
+	 * @param head the request line and the headers
 	 * @param body the body
 	 */
 	record Request(String head, String body) {
@@ -193,8 +193,8 @@
 		}
 
 		/**
-		 * A good answer.
-		 * @param request what it answers
+		 * Writes a valid response.
+		 * @param request the request
 		 * @param body the body
 		 */
 		void ok(Request request, String body) throws IOException {
@@ -213,15 +213,15 @@
 
 		void hold() {
 			try {
-				// Reads until the other end leaves.
+				// Reads until the peer closes the connection.
 				int next = this.socket.getInputStream().read();
 				if (next >= 0) {
-					throw new IllegalStateException("a request on a connection in use");
+					throw new IllegalStateException("received a request on a connection in use");
 				}
 				this.socket.close();
 			}
 			catch (SocketException ex) {
-				// Left by a reset.
+				// The peer reset the connection.
 			}
 			catch (IOException ex) {
 				throw new UncheckedIOException(ex);
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/StartTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/StartTests.java
@@ -14,7 +14,8 @@
 
 class StartTests {
 
-	// A balancer that asked while the parts were built got an internal error.
+	// Guards against an internal error in response to readiness checks that arrive while
+	// the gateway is being constructed.
 	@RepeatedTest(5)
 	void shouldNotFailQuestionsForReadinessWhileItStarts() {
 		GatewaySettings settings = GatewayHarness.settings();
