--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/AdminServer.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/AdminServer.java
@@ -30,7 +30,7 @@
 
 	private static final String TABLES_PATH = "/tables";
 
-	private static final String HELD_PATH = "/held-requests";
+	private static final String HELD_REQUESTS_PATH = "/held-requests";
 
 	private final DisposableServer readiness;
 
@@ -55,16 +55,16 @@
 			.route((routes) -> routes
 				.get(METRICS_PATH,
 						(_, response) -> response.header(HttpHeaderNames.CONTENT_TYPE, "application/json")
-							.sendString(Mono.fromCallable(() -> render(registry))))
+							.sendString(Mono.fromCallable(() -> metricsJson(registry))))
 				.get(TABLES_PATH + "/{table}/{known}",
 						(request, response) -> table(tables, request.param("table"), request.param("known"))
 							.map((rows) -> response.sendByteArray(Mono.just(rows.toByteArray())).then())
 							.orElseGet(() -> response.status(204).send()))
-				.get(HELD_PATH,
+				.get(HELD_REQUESTS_PATH,
 						(_, response) -> response.header(HttpHeaderNames.CONTENT_TYPE, "application/json")
 							.sendString(held.list().map(AdminServer::json)))
-				.delete(HELD_PATH + "/{digest}",
-						(request, response) -> released(held, request.param("digest"))
+				.delete(HELD_REQUESTS_PATH + "/{digest}",
+						(request, response) -> release(held, request.param("digest"))
 							.flatMap((status) -> response.status(status).send())))
 			.bindNow();
 		return new AdminServer(readiness, metrics);
@@ -86,7 +86,7 @@
 				: Optional.empty();
 	}
 
-	private static Mono<Integer> released(HeldRequests held, String digest) {
+	private static Mono<Integer> release(HeldRequests held, String digest) {
 		try {
 			return held.release(RequestDigest.parse(digest)).map((known) -> known ? 204 : 404);
 		}
@@ -99,7 +99,7 @@
 		return new String(RowJson.write(value), StandardCharsets.UTF_8);
 	}
 
-	private static String render(MetricRegistry registry) throws IOException {
+	private static String metricsJson(MetricRegistry registry) throws IOException {
 		return Mapper.SHARED.writeValueAsString(Map.of("metrics", registry));
 	}
 
@@ -134,7 +134,7 @@
 	 * @param held whether the request is quarantined
 	 * @param crashes the crashes of servers that had the request
 	 */
-	record HeldRequest(String digest, boolean held, List<HeldCrash> crashes) {
+	record HeldRequest(String digest, boolean held, List<CrashEntry> crashes) {
 	}
 
 	/**
@@ -145,7 +145,7 @@
 	 * @param atMillis when its connection broke, in milliseconds since 1970
 	 * @param state the state of the evidence, in lower case
 	 */
-	record HeldCrash(String server, long startedMillis, long atMillis, String state) {
+	record CrashEntry(String server, long startedMillis, long atMillis, String state) {
 	}
 
 	/**
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallProgress.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallProgress.java
@@ -22,19 +22,19 @@
  */
 final class CallProgress {
 
-	private final SharedParts shared;
+	private final SharedParts prefix;
 
 	private final Set<String> tried = new HashSet<>();
 
 	private Optional<Start> server = Optional.empty();
 
-	private long unreadTokens;
+	private long uncachedTokens;
 
 	/** The expected time to first token since the call was sent, in milliseconds. */
 	private long expectedMillis;
 
 	/** Whether a first token is expected and has not arrived yet. */
-	private boolean awaited;
+	private boolean firstTokenPending;
 
 	private long sentNanos;
 
@@ -46,20 +46,20 @@
 
 	private double units;
 
-	private long takenNanos;
+	private long chargedNanos;
 
 	/** Used and allowed units of the quota, for the log. */
-	private String quota = "none";
+	private String quotaUsage = "none";
 
 	/** How many gateways share the quota, for the log. */
-	private String gateways = "none";
+	private String sharingGateways = "none";
 
 	private boolean ran;
 
-	private int unsent;
+	private int unsentAttempts;
 
 	private CallProgress(SharedParts shared) {
-		this.shared = shared;
+		this.prefix = shared;
 	}
 
 	// -- factories
@@ -81,17 +81,17 @@
 
 	void admitted(double taken, Taking taking, long nowNanos) {
 		this.units = taken;
-		this.takenNanos = nowNanos;
-		this.gateways = gateways(taking);
-		this.quota = String.format(Locale.ROOT, "%.0f/%.0f", taking.used(), taking.limit());
+		this.chargedNanos = nowNanos;
+		this.sharingGateways = sharingGateways(taking);
+		this.quotaUsage = String.format(Locale.ROOT, "%.0f/%.0f", taking.used(), taking.limit());
 	}
 
 	void sent(Choice.Chosen chosen, long nowNanos) {
 		this.tried.add(chosen.server().id());
 		this.server = Optional.of(chosen.server().start());
-		this.unreadTokens = chosen.unreadTokens();
+		this.uncachedTokens = chosen.unreadTokens();
 		this.expectedMillis = chosen.expectedMillis();
-		this.awaited = chosen.work().isPresent();
+		this.firstTokenPending = chosen.work().isPresent();
 		// A transfer of KV cache entries takes time that the work does not include.
 		this.work = chosen.fetchFrom().isPresent() ? Optional.empty() : chosen.work();
 		this.sentNanos = nowNanos;
@@ -103,13 +103,13 @@
 	 * @return the number of gateways in the group, a slash, and the number of all
 	 * gateways that may serve callers
 	 */
-	static String gateways(Taking taking) {
+	static String sharingGateways(Taking taking) {
 		return taking.sharing().group() + "/" + taking.sharing().members();
 	}
 
 	/** Records that the call did not reach the server chosen for it. */
 	void notSent() {
-		this.unsent++;
+		this.unsentAttempts++;
 	}
 
 	/** Records that a server may have run the call, so its units are not given back. */
@@ -131,9 +131,9 @@
 	 * Returns the uncached prompt tokens that the server had to prefill and resets them.
 	 * @return the tokens; 0 on later calls
 	 */
-	long takeUnread() {
-		long taken = this.unreadTokens;
-		this.unreadTokens = 0;
+	long takeUncachedTokens() {
+		long taken = this.uncachedTokens;
+		this.uncachedTokens = 0;
 		return taken;
 	}
 
@@ -144,7 +144,7 @@
 	 * @return the ratio, each time plus one millisecond; with no expectation the expected
 	 * time is 0; empty if the call has no server
 	 */
-	OptionalDouble beganRatio(long nowNanos) {
+	OptionalDouble latencyRatio(long nowNanos) {
 		long millis = TimeUnit.NANOSECONDS.toMillis(nowNanos - this.sentNanos);
 		return this.server.isPresent() ? OptionalDouble.of((1.0 + millis) / (1 + this.expectedMillis))
 				: OptionalDouble.empty();
@@ -157,19 +157,19 @@
 	 * or it was recorded before
 	 */
 	Optional<FirstToken> firstToken(long nowNanos) {
-		if (!this.awaited || this.server.isEmpty()) {
+		if (!this.firstTokenPending || this.server.isEmpty()) {
 			return Optional.empty();
 		}
 		long millis = TimeUnit.NANOSECONDS.toMillis(nowNanos - this.sentNanos);
 		FirstToken first = new FirstToken(this.server.get(), this.expectedMillis, millis, this.work);
-		this.awaited = false;
+		this.firstTokenPending = false;
 		return Optional.of(first);
 	}
 
 	// -- queries
 
-	SharedParts shared() {
-		return this.shared;
+	SharedParts prefix() {
+		return this.prefix;
 	}
 
 	Set<String> tried() {
@@ -188,24 +188,24 @@
 		return this.sentNanos;
 	}
 
-	long takenNanos() {
-		return this.takenNanos;
+	long chargedNanos() {
+		return this.chargedNanos;
 	}
 
-	String quota() {
-		return this.quota;
+	String quotaUsage() {
+		return this.quotaUsage;
 	}
 
-	String gateways() {
-		return this.gateways;
+	String sharingGateways() {
+		return this.sharingGateways;
 	}
 
 	boolean ran() {
 		return this.ran;
 	}
 
-	int unsent() {
-		return this.unsent;
+	int unsentAttempts() {
+		return this.unsentAttempts;
 	}
 
 	/**
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallQuotas.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallQuotas.java
@@ -32,14 +32,14 @@
 	 * Detects a pause of this process and applies pending updates from other gateways;
 	 * takes the current time.
 	 */
-	private final LongConsumer catchUp;
+	private final LongConsumer applyPendingUpdates;
 
 	CallQuotas(QuotaTable quotas, Fleet fleet, Supplier<Optional<TrafficConfiguration>> configuration,
 			LongConsumer catchUp) {
 		this.quotas = quotas;
 		this.fleet = fleet;
 		this.configuration = configuration;
-		this.catchUp = catchUp;
+		this.applyPendingUpdates = catchUp;
 	}
 
 	/**
@@ -52,7 +52,7 @@
 	boolean take(Call call, CallProgress progress, long now) {
 		// After a process pause, waiting calls would otherwise be decided before the
 		// updates that other gateways sent meanwhile are read.
-		this.catchUp.accept(now);
+		this.applyPendingUpdates.accept(now);
 		Organisation organisation = current(call.organisation().orElseThrow());
 		Sharing sharing = this.fleet.sharing(now);
 		if (organisation.unitsPerSecond() > 0 && !sharing.isKnown()) {
@@ -75,7 +75,7 @@
 		long wait = taking.waitMillis();
 		String detail = String.format(Locale.ROOT,
 				"%.0f of %.0f units used, %.0f requested, %.0f unconfirmed, gateways %s", taking.used(), taking.limit(),
-				units, taking.unconfirmed(), CallProgress.gateways(taking));
+				units, taking.unconfirmed(), CallProgress.sharingGateways(taking));
 		call.refuse(429, wait + ThreadLocalRandom.current().nextLong(wait / 2 + 1), Refusal.of(Cause.QUOTA, detail));
 	}
 
@@ -88,7 +88,7 @@
 	void giveBack(Call call, CallProgress progress, long now) {
 		double units = progress.takeUnits();
 		if (units > 0) {
-			this.quotas.giveBack(call.organisation().orElseThrow().name(), units, progress.takenNanos(), now);
+			this.quotas.giveBack(call.organisation().orElseThrow().name(), units, progress.chargedNanos(), now);
 		}
 	}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashGuard.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashGuard.java
@@ -20,7 +20,7 @@
 /**
  * Blocks calls whose requests are quarantined because servers crash under them, and
  * collects evidence for and against requests from the outcomes of calls. Confined to the
- * control thread, except {@link #isHeldBack}.
+ * control thread, except {@link #isQuarantined}.
  */
 final class CrashGuard {
 
@@ -28,20 +28,20 @@
 	 * Retry-after time for a quarantined request, in milliseconds. The request stays
 	 * quarantined until an operator releases it.
 	 */
-	static final long RETRY_MILLIS = 60_000;
+	static final long QUARANTINE_RETRY_MILLIS = 60_000;
 
 	/**
 	 * Retry-after time while a probe of the request is running, in milliseconds: calls
 	 * that crashed their servers did so within a second.
 	 */
-	private static final long TRIAL_RETRY_MILLIS = 1_000;
+	private static final long PROBE_RETRY_MILLIS = 1_000;
 
 	private final CrashRecords crashes;
 
 	private final BackendTable servers;
 
 	/** Calls sent as probes although their requests are quarantined. */
-	private final Set<Call> onTrial = ConcurrentHashMap.newKeySet();
+	private final Set<Call> probes = ConcurrentHashMap.newKeySet();
 
 	CrashGuard(CrashRecords crashes, BackendTable servers) {
 		this.crashes = crashes;
@@ -53,30 +53,30 @@
 	/**
 	 * Admits a call or refuses it immediately, before it uses any quota.
 	 * @param call the call
-	 * @param go continues with the call; takes the current time
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param proceed continues with the call; takes the current time
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void admit(Call call, LongConsumer go, long now) {
+	void admit(Call call, LongConsumer proceed, long nowNanos) {
 		if (!this.crashes.isKnown()) {
 			call.refuse(503, GatewayControl.fullRetryMillis(),
 					Refusal.of(Cause.CRASHES_UNKNOWN, "quarantined requests not read from the store yet"));
 			return;
 		}
 		switch (judge(call)) {
-			case Judgement.Free _ -> go.accept(now);
-			case Judgement.OnTrial trial -> this.crashes.trials()
-				.claim(call.digest().orElseThrow(), (granted) -> claimed(call, granted, go, trial));
-			case Judgement.Held held -> call.refuse(503, RETRY_MILLIS, refusal(held));
+			case Judgement.Free _ -> proceed.accept(nowNanos);
+			case Judgement.OnTrial trial -> this.crashes.probes()
+				.claim(call.digest().orElseThrow(), (granted) -> claimed(call, granted, proceed, trial));
+			case Judgement.Held held -> call.refuse(503, QUARANTINE_RETRY_MILLIS, refusal(held));
 		}
 	}
 
-	private void claimed(Call call, boolean granted, LongConsumer go, Judgement judgement) {
+	private void claimed(Call call, boolean granted, LongConsumer proceed, Judgement decision) {
 		if (granted) {
-			this.onTrial.add(call);
-			go.accept(System.nanoTime());
+			this.probes.add(call);
+			proceed.accept(System.nanoTime());
 		}
 		else {
-			call.refuse(503, TRIAL_RETRY_MILLIS, refusal(judgement));
+			call.refuse(503, PROBE_RETRY_MILLIS, refusal(decision));
 		}
 	}
 
@@ -86,11 +86,11 @@
 	 * @param call the call
 	 * @return the refusal, empty if the call may be sent
 	 */
-	Optional<Refusal> heldBack(Call call) {
-		Judgement judgement = judge(call);
-		return switch (judgement) {
+	Optional<Refusal> quarantineRefusal(Call call) {
+		Judgement decision = judge(call);
+		return switch (decision) {
 			case Judgement.Free _ -> Optional.empty();
-			case Judgement.OnTrial _, Judgement.Held _ -> Optional.of(refusal(judgement));
+			case Judgement.OnTrial _, Judgement.Held _ -> Optional.of(refusal(decision));
 		};
 	}
 
@@ -99,8 +99,8 @@
 	 * @param call the call
 	 * @return true if its request is quarantined and the call is not the probe
 	 */
-	boolean isHeldBack(Call call) {
-		return call.digest().filter(this.crashes::isHeld).isPresent() && !this.onTrial.contains(call);
+	boolean isQuarantined(Call call) {
+		return call.digest().filter(this.crashes::isQuarantined).isPresent() && !this.probes.contains(call);
 	}
 
 	// -- while a call is in progress
@@ -113,7 +113,7 @@
 	 */
 	List<Call> copies(RequestDigest request, Collection<Call> calls) {
 		return calls.stream()
-			.filter((call) -> call.digest().equals(Optional.of(request)) && !this.onTrial.contains(call))
+			.filter((call) -> call.digest().equals(Optional.of(request)) && !this.probes.contains(call))
 			.toList();
 	}
 
@@ -124,7 +124,7 @@
 	 * @param ran whether a server may have run it
 	 */
 	void withdraw(Call call, boolean ran) {
-		call.withdraw(ran, RETRY_MILLIS, refusal(judge(call)));
+		call.withdraw(ran, QUARANTINE_RETRY_MILLIS, refusal(judge(call)));
 	}
 
 	// -- outcomes of calls
@@ -135,11 +135,11 @@
 	 * @param server the server that responded
 	 * @param sentNanos when the call was sent to the server, on the monotonic clock, in
 	 * nanoseconds
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void answered(Call call, BackendServer server, long sentNanos, long now) {
-		this.crashes.answers(server.start(), sentNanos, now);
-		call.digest().ifPresent((request) -> this.crashes.answered(request, now));
+	void answered(Call call, BackendServer server, long sentNanos, long nowNanos) {
+		this.crashes.serverResponded(server.start(), sentNanos, nowNanos);
+		call.digest().ifPresent((request) -> this.crashes.requestCompleted(request, nowNanos));
 	}
 
 	/**
@@ -149,12 +149,12 @@
 	 * @param call the call
 	 * @param server the server
 	 * @param failure the failure
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void failed(Call call, BackendServer server, Failure failure, long now) {
+	void failed(Call call, BackendServer server, Failure failure, long nowNanos) {
 		boolean broke = failure.sent() && !failure.answered() && !(failure.verdict() instanceof Verdict.NotRun);
 		if (broke && this.servers.isExpected(server.start())) {
-			call.digest().ifPresent((request) -> this.crashes.broke(request, server, now));
+			call.digest().ifPresent((request) -> this.crashes.connectionBroke(request, server, nowNanos));
 		}
 	}
 
@@ -163,9 +163,9 @@
 	 * for the next copy.
 	 * @param call the call
 	 */
-	void over(Call call) {
-		if (this.onTrial.remove(call) && call.sends() == 0) {
-			this.crashes.trials().giveBack(call.digest().orElseThrow());
+	void ended(Call call) {
+		if (this.probes.remove(call) && call.sends() == 0) {
+			this.crashes.probes().giveBack(call.digest().orElseThrow());
 		}
 	}
 
@@ -173,9 +173,9 @@
 		return call.digest().map(this.crashes::judge).orElse(Judgement.none());
 	}
 
-	private static Refusal refusal(Judgement judgement) {
+	private static Refusal refusal(Judgement decision) {
 		return Refusal.of(Cause.CRASHES_SERVERS, "servers that crashed under the request: "
-				+ judgement.servers().stream().map(BackendServer.Start::id).toList());
+				+ decision.servers().stream().map(BackendServer.Start::id).toList());
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRecords.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRecords.java
@@ -18,7 +18,7 @@
 import org.rosemaryfront.dispatch.BackendServer.Start;
 import org.rosemaryfront.dispatch.BackendTable;
 import org.rosemaryfront.events.EventLog;
-import org.rosemaryfront.gateway.AdminServer.HeldCrash;
+import org.rosemaryfront.gateway.AdminServer.CrashEntry;
 import org.rosemaryfront.gateway.AdminServer.HeldRequest;
 import org.rosemaryfront.gateway.proto.CrashNews;
 import org.rosemaryfront.ports.RowStore;
@@ -37,19 +37,19 @@
 
 	private final ControlLoop control;
 
-	private final Hooks hooks;
+	private final Hooks callbacks;
 
-	private final CrashTrials trials;
+	private final QuarantineProbes probes;
 
 	private final CrashStore store;
 
 	/**
 	 * Servers with a connection attempt in progress that checks whether they are alive.
 	 */
-	private final Set<Start> asked = new HashSet<>();
+	private final Set<Start> livenessChecks = new HashSet<>();
 
 	/** Requests logged as quarantined. */
-	private final Set<RequestDigest> toldHeld = new HashSet<>();
+	private final Set<RequestDigest> loggedQuarantined = new HashSet<>();
 
 	/** Whether there are updates to send before the next report is due. */
 	private boolean urgent;
@@ -57,10 +57,10 @@
 	CrashRecords(RowStore rows, BackendTable servers, ControlLoop control, String process, Hooks hooks) {
 		this.servers = servers;
 		this.control = control;
-		this.hooks = hooks;
-		this.trials = new CrashTrials(rows, this.table, control, process, this::review);
-		this.store = new CrashStore(rows, this.table, this.trials, control, process,
-				new CrashStore.News((evidence, now) -> took(evidence, "store", now), this::review));
+		this.callbacks = hooks;
+		this.probes = new QuarantineProbes(rows, this.table, control, process, this::review);
+		this.store = new CrashStore(rows, this.table, this.probes, control, process,
+				new CrashStore.News((evidence, nowNanos) -> evidenceAdded(evidence, "store", nowNanos), this::review));
 	}
 
 	// -- queries
@@ -72,7 +72,7 @@
 	 * @return true once the table was read
 	 */
 	boolean isKnown() {
-		return this.store.isKnown();
+		return this.store.isLoaded();
 	}
 
 	/**
@@ -81,7 +81,7 @@
 	 * @param request the digest of the request
 	 * @return true if it is quarantined
 	 */
-	boolean isHeld(RequestDigest request) {
+	boolean isQuarantined(RequestDigest request) {
 		return this.table.isHeld(request);
 	}
 
@@ -97,14 +97,14 @@
 		return this.table.all()
 			.entrySet()
 			.stream()
-			.map((entry) -> new HeldRequest(entry.getKey().toString(), isHeld(entry.getKey()),
-					entry.getValue().stream().map(CrashRecords::heldCrash).toList()))
+			.map((entry) -> new HeldRequest(entry.getKey().toString(), isQuarantined(entry.getKey()),
+					entry.getValue().stream().map(CrashRecords::crashEntry).toList()))
 			.toList();
 	}
 
-	private static HeldCrash heldCrash(Evidence evidence) {
+	private static CrashEntry crashEntry(Evidence evidence) {
 		Start server = evidence.crash().server();
-		return new HeldCrash(server.id(), server.startedMillis(), evidence.atMillis(),
+		return new CrashEntry(server.id(), server.startedMillis(), evidence.atMillis(),
 				evidence.state().name().toLowerCase(Locale.ROOT));
 	}
 
@@ -112,8 +112,8 @@
 		return this.table.heldCount();
 	}
 
-	CrashTrials trials() {
-		return this.trials;
+	QuarantineProbes probes() {
+		return this.probes;
 	}
 
 	// -- evidence from calls and connections
@@ -122,39 +122,40 @@
 	 * Records that a connection broke in the middle of a call.
 	 * @param request the digest of the request
 	 * @param server the server that had the request
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void broke(RequestDigest request, BackendServer server, long now) {
+	void connectionBroke(RequestDigest request, BackendServer server, long nowNanos) {
 		Crash crash = new Crash(request, server.start());
-		if (this.table.suspected(crash, System.currentTimeMillis(), now)) {
+		if (this.table.suspected(crash, System.currentTimeMillis(), nowNanos)) {
 			review(request);
-			if (this.asked.add(server.start())) {
-				this.hooks.ask(server, (lives) -> this.control.post((at) -> answeredWhetherItLives(server, lives, at)));
+			if (this.livenessChecks.add(server.start())) {
+				this.callbacks.ask(server,
+						(alive) -> this.control.post((checkedNanos) -> livenessChecked(server, alive, checkedNanos)));
 			}
 		}
 	}
 
-	private void answeredWhetherItLives(BackendServer server, boolean lives, long now) {
-		this.asked.remove(server.start());
-		if (lives) {
-			lives(server.start(), now, "server accepts connections", now);
+	private void livenessChecked(BackendServer server, boolean alive, long nowNanos) {
+		this.livenessChecks.remove(server.start());
+		if (alive) {
+			serverAlive(server.start(), nowNanos, "server accepts connections", nowNanos);
 		}
 		else {
-			crashed(server.start(), "connection attempt failed", now);
+			serverCrashed(server.start(), "connection attempt failed", nowNanos);
 		}
 	}
 
 	/**
 	 * Records that a server crashed.
 	 * @param server the server process
-	 * @param sign the observation that shows the crash, for the log
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param observation the observation that shows the crash, for the log
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void crashed(Start server, String sign, long now) {
-		this.servers.crashed(server, now);
-		for (Evidence evidence : this.table.crashed(server, now)) {
+	void serverCrashed(Start server, String observation, long nowNanos) {
+		this.servers.crashed(server, nowNanos);
+		for (Evidence evidence : this.table.crashed(server, nowNanos)) {
 			this.urgent = true;
-			noteCrash(evidence, sign);
+			logCrash(evidence, observation);
 			review(evidence.crash().request());
 		}
 	}
@@ -163,47 +164,47 @@
 	 * Records that a server responded to a call.
 	 * @param server the server process
 	 * @param sentNanos when the call was sent, on the monotonic clock, in nanoseconds
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void answers(Start server, long sentNanos, long now) {
-		lives(server, sentNanos, "server responded to a call", now);
+	void serverResponded(Start server, long sentNanos, long nowNanos) {
+		serverAlive(server, sentNanos, "server responded to a call", nowNanos);
 	}
 
-	private void lives(Start server, long sentNanos, String sign, long now) {
-		List<Evidence> cleared = this.table.answers(server, sentNanos, now);
+	private void serverAlive(Start server, long sentNanos, String observation, long nowNanos) {
+		List<Evidence> cleared = this.table.answers(server, sentNanos, nowNanos);
 		if (!cleared.isEmpty()) {
 			this.servers.lives(server);
-			noteCleared(cleared, sign);
+			logCleared(cleared, observation);
 		}
 	}
 
 	/**
 	 * Records that a request got a complete response.
 	 * @param request the digest of the request
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void answered(RequestDigest request, long now) {
-		clear(request, "request completed", now);
+	void requestCompleted(RequestDigest request, long nowNanos) {
+		clear(request, "request completed", nowNanos);
 	}
 
 	/**
 	 * Releases a request from quarantine on behalf of an operator.
 	 * @param request the digest of the request
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return whether there was a record of a crash under it
 	 */
-	boolean release(RequestDigest request, long now) {
-		return clear(request, "released by an operator", now);
+	boolean release(RequestDigest request, long nowNanos) {
+		return clear(request, "released by an operator", nowNanos);
 	}
 
-	private boolean clear(RequestDigest request, String cause, long now) {
-		List<Evidence> cleared = this.table.cleared(request, now);
-		noteCleared(cleared, cause);
+	private boolean clear(RequestDigest request, String cause, long nowNanos) {
+		List<Evidence> cleared = this.table.cleared(request, nowNanos);
+		logCleared(cleared, cause);
 		// The probe is given back even if nothing was cleared: a gateway that sees the
 		// end of a probe before its success runs a second probe, and when that one
 		// succeeds the evidence is already cleared.
-		if (this.trials.isGiven(request)) {
-			this.trials.giveBack(request);
+		if (this.probes.isGranted(request)) {
+			this.probes.giveBack(request);
 		}
 		return !cleared.isEmpty();
 	}
@@ -212,12 +213,12 @@
 
 	/**
 	 * Returns the updates for the other gateways.
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the updates
 	 */
-	List<CrashNews> news(long now) {
+	List<CrashNews> news(long nowNanos) {
 		this.urgent = false;
-		return this.table.news(now).stream().map(CrashRecords::message).toList();
+		return this.table.news(nowNanos).stream().map(CrashRecords::message).toList();
 	}
 
 	/**
@@ -231,15 +232,15 @@
 	/**
 	 * Applies updates received from another gateway.
 	 * @param gateway the other gateway
-	 * @param news the updates
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param updates the updates
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void heard(String gateway, List<CrashNews> news, long now) {
-		for (CrashNews one : news) {
-			if (one.getRequest().size() == RequestDigest.BYTES) {
-				Evidence evidence = evidence(one);
-				if (this.table.heard(evidence, now)) {
-					took(evidence, gateway, now);
+	void heard(String gateway, List<CrashNews> updates, long nowNanos) {
+		for (CrashNews update : updates) {
+			if (update.getRequest().size() == RequestDigest.BYTES) {
+				Evidence evidence = evidence(update);
+				if (this.table.heard(evidence, nowNanos)) {
+					evidenceAdded(evidence, gateway, nowNanos);
 				}
 			}
 		}
@@ -256,10 +257,10 @@
 			.build();
 	}
 
-	private static Evidence evidence(CrashNews news) {
-		Crash crash = new Crash(RequestDigest.of(news.getRequest().toByteArray()),
-				new Start(news.getServer(), news.getStartedMillis()));
-		return new Evidence(crash, news.getCleared() ? State.CLEARED : State.CONFIRMED, news.getAtMillis());
+	private static Evidence evidence(CrashNews updates) {
+		Crash crash = new Crash(RequestDigest.of(updates.getRequest().toByteArray()),
+				new Start(updates.getServer(), updates.getStartedMillis()));
+		return new Evidence(crash, updates.getCleared() ? State.CLEARED : State.CONFIRMED, updates.getAtMillis());
 	}
 
 	// -- the store
@@ -270,10 +271,10 @@
 
 	/**
 	 * Expires old evidence and writes pending evidence to the store.
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void tick(long now) {
-		this.store.tick(now);
+	void tick(long nowNanos) {
+		this.store.tick(nowNanos);
 	}
 
 	/**
@@ -282,40 +283,40 @@
 	 * @param epochMillis the time of day, in milliseconds since 1970
 	 */
 	void tidy(long epochMillis) {
-		this.store.tidy(epochMillis);
+		this.store.cleanUp(epochMillis);
 	}
 
 	// -- the log
 
 	// One crash that another gateway saw can be evidence against twenty requests, so it
 	// is logged only for requests that it may quarantine.
-	private void took(Evidence evidence, String from, long now) {
+	private void evidenceAdded(Evidence evidence, String from, long nowNanos) {
 		RequestDigest request = evidence.crash().request();
 		if (evidence.state() == State.CONFIRMED) {
-			this.servers.crashed(evidence.crash().server(), now);
+			this.servers.crashed(evidence.crash().server(), nowNanos);
 		}
 		if (evidence.state() == State.CONFIRMED && judge(request).servers().size() > 1) {
-			noteCrash(evidence, from);
+			logCrash(evidence, from);
 		}
 		review(request);
 	}
 
-	private void noteCrash(Evidence evidence, String from) {
+	private void logCrash(Evidence evidence, String from) {
 		RequestDigest request = evidence.crash().request();
 		Start server = evidence.crash().server();
-		this.hooks.count("crashes.confirmed");
+		this.callbacks.count("crashes.confirmed");
 		EventLog.info(GatewayEvents.CRASHED_UNDER_REQUEST, "digest", request, "server", server.id(), "started",
 				server.startedMillis(), "crashes", judge(request).servers().size(), "from", from, "ageMillis",
 				System.currentTimeMillis() - evidence.atMillis());
 	}
 
-	private void noteCleared(List<Evidence> cleared, String cause) {
+	private void logCleared(List<Evidence> cleared, String cause) {
 		for (Evidence evidence : cleared) {
 			RequestDigest request = evidence.crash().request();
 			// Suspected crashes are not sent to the other gateways, so clearing one is
 			// not urgent.
 			this.urgent |= this.table.evidence(evidence.crash()).isPresent();
-			this.hooks.count("crashes.cleared");
+			this.callbacks.count("crashes.cleared");
 			EventLog.info(GatewayEvents.CRASH_CLEARED, "digest", request, "server", evidence.crash().server().id(),
 					"started", evidence.crash().server().startedMillis(), "cause", cause, "crashes",
 					judge(request).servers().size());
@@ -325,15 +326,15 @@
 
 	// Logs and reports when a request becomes quarantined or is released.
 	private void review(RequestDigest request) {
-		Judgement judgement = judge(request);
-		boolean held = judgement instanceof Judgement.Held;
-		if (held && this.toldHeld.add(request)) {
+		Judgement decision = judge(request);
+		boolean held = decision instanceof Judgement.Held;
+		if (held && this.loggedQuarantined.add(request)) {
 			EventLog.warn(GatewayEvents.REQUEST_HELD_BACK, "digest", request, "servers",
-					judgement.servers().stream().map(Start::id).toList());
-			this.hooks.held(request);
+					decision.servers().stream().map(Start::id).toList());
+			this.callbacks.held(request);
 		}
-		else if (!held && this.toldHeld.remove(request)) {
-			EventLog.info(GatewayEvents.REQUEST_RELEASED, "digest", request, "crashes", judgement.servers().size());
+		else if (!held && this.loggedQuarantined.remove(request)) {
+			EventLog.info(GatewayEvents.REQUEST_RELEASED, "digest", request, "crashes", decision.servers().size());
 		}
 	}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRows.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRows.java
@@ -19,12 +19,12 @@
 
 	static final String TABLE = "crashes";
 
-	private static final String TRIAL = "trial";
+	private static final String PROBE = "trial";
 
 	private static final TypeReference<CrashRow> CRASH_ROW = new TypeReference<>() {
 	};
 
-	private static final TypeReference<TrialRow> TRIAL_ROW = new TypeReference<>() {
+	private static final TypeReference<TrialRow> PROBE_ROW = new TypeReference<>() {
 	};
 
 	private CrashRows() {
@@ -38,12 +38,12 @@
 		return crash.request().toString() + '/' + String.format(Locale.ROOT, "%016x", server);
 	}
 
-	static String trialKey(RequestDigest request) {
-		return request.toString() + '/' + TRIAL;
+	static String probeKey(RequestDigest request) {
+		return request.toString() + '/' + PROBE;
 	}
 
-	static boolean isTrial(String key) {
-		return key.endsWith('/' + TRIAL);
+	static boolean isProbe(String key) {
+		return key.endsWith('/' + PROBE);
 	}
 
 	/**
@@ -62,7 +62,7 @@
 				evidence.state() == State.CLEARED, gateway));
 	}
 
-	static byte[] writeTrial(String process) {
+	static byte[] writeProbe(String process) {
 		return RowJson.write(new TrialRow(process));
 	}
 
@@ -72,8 +72,8 @@
 	 * @return the gateway process that has the probe
 	 * @throws IllegalStateException if the value cannot be parsed
 	 */
-	static String readTrial(byte[] value) {
-		return RowJson.read(value, TRIAL_ROW, "probe row").gateway();
+	static String readProbe(byte[] value) {
+		return RowJson.read(value, PROBE_ROW, "probe row").gateway();
 	}
 
 	/**
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashStore.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashStore.java
@@ -34,27 +34,28 @@
 	 * Minimum time between two checks for pending writes, in nanoseconds; without it
 	 * every call on the control thread would run the check.
 	 */
-	private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+	private static final long WRITE_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
 	/** Maximum rows per commit; the store accepts a hundred. */
-	private static final int MOST_WRITES = 50;
+	private static final int MAX_WRITES = 50;
 
 	/**
 	 * Retention of rows of cleared crashes, in milliseconds, so that updates that arrive
 	 * late do not count; also applies to requests with a single crash while there are
 	 * more than {@link #CROWDED_ROWS} rows.
 	 */
-	private static final long SHORT_KEPT_MILLIS = TimeUnit.MINUTES.toMillis(10);
+	private static final long SHORT_RETENTION_MILLIS = TimeUnit.MINUTES.toMillis(10);
 
 	/**
 	 * Minimum time between two searches for rows to delete, in milliseconds. Rows are
 	 * kept for minutes, while the duties run ten times a second, also when the store
 	 * accepts no deletions.
 	 */
-	private static final long TIDY_MILLIS = TimeUnit.SECONDS.toMillis(10);
+	private static final long CLEAN_UP_INTERVAL_MILLIS = TimeUnit.SECONDS.toMillis(10);
 
 	/**
-	 * Number of rows above which single crashes are kept for {@link #SHORT_KEPT_MILLIS}.
+	 * Number of rows above which single crashes are kept for
+	 * {@link #SHORT_RETENTION_MILLIS}.
 	 */
 	private static final int CROWDED_ROWS = 512;
 
@@ -63,48 +64,49 @@
 	 * request that crashes servers recurs within this time, and the crashes of other
 	 * requests no longer matter after it.
 	 */
-	private static final long KEPT_MILLIS = TimeUnit.DAYS.toMillis(1);
+	private static final long RETENTION_MILLIS = TimeUnit.DAYS.toMillis(1);
 
 	private final RowStore store;
 
 	private final CrashTable table;
 
-	private final CrashTrials trials;
+	private final QuarantineProbes probes;
 
 	private final ControlLoop control;
 
 	/** The name of this gateway process, unique to this start. */
 	private final String process;
 
-	private final News news;
+	private final News updates;
 
 	/** The crash of each row by its key, to look it up when the row is deleted. */
 	private final Map<String, Crash> rows = new HashMap<>();
 
 	private int writing;
 
-	private long lookedNanos = System.nanoTime();
+	private long checkedNanos = System.nanoTime();
 
 	/** The time of day of the last search for rows to delete. */
-	private long tidiedMillis;
+	private long cleanedUpMillis;
 
-	private volatile boolean known;
+	private volatile boolean loaded;
 
-	CrashStore(RowStore store, CrashTable table, CrashTrials trials, ControlLoop control, String process, News news) {
+	CrashStore(RowStore store, CrashTable table, QuarantineProbes probes, ControlLoop control, String process,
+			News updates) {
 		this.store = store;
 		this.table = table;
-		this.trials = trials;
+		this.probes = probes;
 		this.control = control;
 		this.process = process;
-		this.news = news;
+		this.updates = updates;
 	}
 
 	/**
 	 * Returns whether the table has been read from the store. Safe to call on any thread.
 	 * @return true once the table was read
 	 */
-	boolean isKnown() {
-		return this.known;
+	boolean isLoaded() {
+		return this.loaded;
 	}
 
 	TableWatch.Listener listener() {
@@ -115,21 +117,21 @@
 
 	/**
 	 * Expires old evidence and writes pending evidence to the store.
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void tick(long now) {
-		if (now - this.lookedNanos >= LOOK_NANOS) {
-			this.lookedNanos = now;
-			this.table.expire(now).forEach(this.news.removed());
-			writeDue(now);
+	void tick(long nowNanos) {
+		if (nowNanos - this.checkedNanos >= WRITE_CHECK_INTERVAL_NANOS) {
+			this.checkedNanos = nowNanos;
+			this.table.expire(nowNanos).forEach(this.updates.removed());
+			writeDue(nowNanos);
 		}
 	}
 
-	private void writeDue(long now) {
-		if (this.writing > 0 || !this.known) {
+	private void writeDue(long nowNanos) {
+		if (this.writing > 0 || !this.loaded) {
 			return;
 		}
-		List<Evidence> due = this.table.unwritten(MOST_WRITES, now);
+		List<Evidence> due = this.table.unwritten(MAX_WRITES, nowNanos);
 		if (!due.isEmpty()) {
 			write(due);
 		}
@@ -148,25 +150,25 @@
 			.map((evidence) -> new Write(CrashRows.key(evidence.crash()), CrashRows.write(evidence, this.process)))
 			.toList();
 		this.store.commit(new Commit(CrashRows.TABLE, conditions, writes, List.of()))
-			.subscribe((outcome) -> this.control.post((now) -> written(due, outcome, now)),
-					(failure) -> this.control.post((now) -> notWritten(due, failure, now)));
+			.subscribe((outcome) -> this.control.post((nowNanos) -> written(due, outcome, nowNanos)),
+					(failure) -> this.control.post((nowNanos) -> writeFailed(due, failure, nowNanos)));
 	}
 
-	private void written(List<Evidence> due, Outcome outcome, long now) {
+	private void written(List<Evidence> due, Outcome outcome, long nowNanos) {
 		this.writing--;
 		switch (outcome) {
 			case Outcome.Committed _ -> due.forEach(this.table::written);
 			case Outcome.Conflict _ when due.size() == 1 -> this.table.written(due.getFirst());
 			// Another gateway wrote one of the rows, so each row is written on its own.
-			case Outcome.Conflict _ -> due.forEach((one) -> write(List.of(one)));
+			case Outcome.Conflict _ -> due.forEach((pending) -> write(List.of(pending)));
 		}
-		writeDue(now);
+		writeDue(nowNanos);
 	}
 
-	private void notWritten(List<Evidence> due, Throwable failure, long now) {
+	private void writeFailed(List<Evidence> due, Throwable failure, long nowNanos) {
 		this.writing--;
 		RowLog.failed(CrashRows.key(due.getFirst().crash()), "write", failure);
-		due.forEach((one) -> this.table.notWritten(one, now));
+		due.forEach((pending) -> this.table.notWritten(pending, nowNanos));
 	}
 
 	/**
@@ -174,60 +176,61 @@
 	 * duties.
 	 * @param epochMillis the time of day, in milliseconds since 1970
 	 */
-	void tidy(long epochMillis) {
-		if (Math.abs(epochMillis - this.tidiedMillis) < TIDY_MILLIS) {
+	void cleanUp(long epochMillis) {
+		if (Math.abs(epochMillis - this.cleanedUpMillis) < CLEAN_UP_INTERVAL_MILLIS) {
 			return;
 		}
-		this.tidiedMillis = epochMillis;
-		List<String> old = this.rows.entrySet()
+		this.cleanedUpMillis = epochMillis;
+		List<String> expired = this.rows.entrySet()
 			.stream()
-			.filter((entry) -> isOld(entry.getValue(), epochMillis))
+			.filter((entry) -> isExpired(entry.getValue(), epochMillis))
 			.map(Map.Entry::getKey)
-			.limit(MOST_WRITES)
+			.limit(MAX_WRITES)
 			.toList();
-		if (!old.isEmpty()) {
-			this.store.commit(new Commit(CrashRows.TABLE, List.of(), List.of(), old)).subscribe((_) -> {
-			}, (failure) -> RowLog.failed(old.getFirst(), "delete", failure));
+		if (!expired.isEmpty()) {
+			this.store.commit(new Commit(CrashRows.TABLE, List.of(), List.of(), expired)).subscribe((_) -> {
+			}, (failure) -> RowLog.failed(expired.getFirst(), "delete", failure));
 		}
 	}
 
 	// Crashes that the table evicted because it was full are deleted from the store as
 	// well.
-	private boolean isOld(Crash crash, long epochMillis) {
+	private boolean isExpired(Crash crash, long epochMillis) {
 		if (this.table.isHeld(crash.request())) {
 			return false;
 		}
 		Optional<Evidence> evidence = this.table.evidence(crash);
-		return evidence.isEmpty() || epochMillis - evidence.get().atMillis() > keptMillis(evidence.get());
+		return evidence.isEmpty() || epochMillis - evidence.get().atMillis() > retentionMillis(evidence.get());
 	}
 
-	private long keptMillis(Evidence evidence) {
+	private long retentionMillis(Evidence evidence) {
 		boolean isCrowded = this.rows.size() > CROWDED_ROWS;
 		boolean isSingle = this.table.judge(evidence.crash().request()).servers().size() <= 1;
-		return (evidence.state() == State.CLEARED || (isCrowded && isSingle)) ? SHORT_KEPT_MILLIS : KEPT_MILLIS;
+		return (evidence.state() == State.CLEARED || (isCrowded && isSingle)) ? SHORT_RETENTION_MILLIS
+				: RETENTION_MILLIS;
 	}
 
 	// -- reading
 
-	private void all(List<Row> present, long now) {
+	private void load(List<Row> presentRows, long nowNanos) {
 		Set<String> keys = new HashSet<>();
-		present.forEach((row) -> keys.add(row.key()));
-		List.copyOf(this.rows.keySet()).stream().filter((key) -> !keys.contains(key)).forEach(this::gone);
-		this.trials.retain(keys);
-		present.forEach((row) -> row(row, now));
-		this.known = true;
+		presentRows.forEach((row) -> keys.add(row.key()));
+		List.copyOf(this.rows.keySet()).stream().filter((key) -> !keys.contains(key)).forEach(this::rowRemoved);
+		this.probes.retain(keys);
+		presentRows.forEach((row) -> row(row, nowNanos));
+		this.loaded = true;
 	}
 
-	private void row(Row row, long now) {
+	private void row(Row row, long nowNanos) {
 		try {
 			if (row.value().isEmpty()) {
-				gone(row.key());
+				rowRemoved(row.key());
 			}
-			else if (CrashRows.isTrial(row.key())) {
-				this.trials.given(CrashRows.request(row.key()), CrashRows.readTrial(row.value().get()));
+			else if (CrashRows.isProbe(row.key())) {
+				this.probes.granted(CrashRows.request(row.key()), CrashRows.readProbe(row.value().get()));
 			}
 			else {
-				crash(row.key(), CrashRows.read(row.key(), row.value().get()), now);
+				crash(row.key(), CrashRows.read(row.key(), row.value().get()), nowNanos);
 			}
 		}
 		catch (IllegalArgumentException | IllegalStateException ex) {
@@ -235,21 +238,21 @@
 		}
 	}
 
-	private void crash(String key, Evidence evidence, long now) {
+	private void crash(String key, Evidence evidence, long nowNanos) {
 		this.rows.put(key, evidence.crash());
-		if (this.table.stored(evidence, now)) {
-			this.news.crash().accept(evidence, now);
+		if (this.table.stored(evidence, nowNanos)) {
+			this.updates.crash().accept(evidence, nowNanos);
 		}
 	}
 
-	private void gone(String key) {
-		if (CrashRows.isTrial(key)) {
-			this.trials.gone(CrashRows.request(key));
+	private void rowRemoved(String key) {
+		if (CrashRows.isProbe(key)) {
+			this.probes.rowRemoved(CrashRows.request(key));
 		}
 		Crash crash = this.rows.remove(key);
 		if (crash != null) {
 			this.table.removed(crash);
-			this.news.removed().accept(crash.request());
+			this.updates.removed().accept(crash.request());
 		}
 	}
 
@@ -266,13 +269,13 @@
 	private final class Listener implements TableWatch.Listener {
 
 		@Override
-		public void all(List<Row> present, long version) {
-			CrashStore.this.control.post((now) -> CrashStore.this.all(present, now));
+		public void all(List<Row> presentRows, long version) {
+			CrashStore.this.control.post((nowNanos) -> CrashStore.this.load(presentRows, nowNanos));
 		}
 
 		@Override
 		public void changed(List<Row> changed, long version) {
-			CrashStore.this.control.post((now) -> changed.forEach((row) -> row(row, now)));
+			CrashStore.this.control.post((nowNanos) -> changed.forEach((row) -> row(row, nowNanos)));
 		}
 
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayControl.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayControl.java
@@ -66,10 +66,10 @@
 	 * Fraction of the allowed retry share that is used, because retries may be counted
 	 * over windows with other boundaries.
 	 */
-	private static final double RETRY_CAUTION = 0.8;
+	private static final double RETRY_SHARE_FACTOR = 0.8;
 
 	/** Failed connection attempts, with nothing sent, after which a call is refused. */
-	private static final int UNSENT_MOST = 3;
+	private static final int MAX_UNSENT_ATTEMPTS = 3;
 
 	private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
@@ -85,7 +85,7 @@
 
 	private final UsageLedger usage;
 
-	private final CrashGuard guard;
+	private final CrashGuard crashGuard;
 
 	private final Rollouts rollouts;
 
@@ -101,12 +101,12 @@
 	private volatile Optional<StopTimes> stop = Optional.empty();
 
 	/** The servers that accept calls; read on the traffic thread. */
-	private volatile Set<BackendServer.Start> takers = Set.of();
+	private volatile Set<BackendServer.Start> eligibleServers = Set.of();
 
 	/** The store version and the time of the last update of the server table. */
 	private long serversVersion;
 
-	private long serversNanos = System.nanoTime();
+	private long serversUpdatedNanos = System.nanoTime();
 
 	/** When the server table was last confirmed current. */
 	private final Freshness serversFreshness;
@@ -117,17 +117,18 @@
 	private long readingTokens;
 
 	GatewayControl(ControlLoop loop, BackendTable servers, GatewaySettings settings, QuotaTable quotas, Fleet fleet,
-			UsageLedger usage, CrashGuard guard, Rollouts rollouts, Freshness serversFreshness, LongConsumer catchUp) {
+			UsageLedger usage, CrashGuard crashGuard, Rollouts rollouts, Freshness serversFreshness,
+			LongConsumer catchUp) {
 		this.loop = loop;
 		this.servers = servers;
 		this.dispatcher = new Dispatcher(servers, settings.zone());
 		this.quotas = new CallQuotas(quotas, fleet, this::configuration, catchUp);
 		this.usage = usage;
-		this.guard = guard;
+		this.crashGuard = crashGuard;
 		this.rollouts = rollouts;
 		this.serversFreshness = serversFreshness;
 		GatewaySettings.Bounds bounds = settings.bounds();
-		this.retries = new RetryAllowance(bounds.retryShare() * RETRY_CAUTION, bounds.retryFixed(),
+		this.retries = new RetryAllowance(bounds.retryShare() * RETRY_SHARE_FACTOR, bounds.retryFixed(),
 				bounds.retryWindowMillis(), System.nanoTime());
 		gateways(fleet.serving(System.nanoTime()));
 	}
@@ -157,17 +158,17 @@
 
 	@Override
 	public boolean isHeldBack(Call call) {
-		return this.guard.isHeldBack(call);
+		return this.crashGuard.isQuarantined(call);
 	}
 
 	@Override
 	public boolean takesCalls(BackendServer server) {
-		return this.takers.contains(server.start());
+		return this.eligibleServers.contains(server.start());
 	}
 
 	@Override
 	public void admit(Call call) {
-		this.loop.post((now) -> admit(call, now));
+		this.loop.post((nowNanos) -> admit(call, nowNanos));
 	}
 
 	@Override
@@ -178,35 +179,35 @@
 			call.organisation().ifPresent((organisation) -> this.usage.began(organisation.name(), epochMillis));
 			CallProgress progress = this.calls.get(call);
 			if (progress != null) {
-				progress.beganRatio(beganNanos)
+				progress.latencyRatio(beganNanos)
 					.ifPresent((ratio) -> this.rollouts.began(call.service(), call.route().name(),
 							progress.server().orElseThrow(), ratio));
 				progress.firstToken(beganNanos).ifPresent((first) -> learn(call.service(), first));
-				promptRead(progress);
+				promptPrefilled(progress);
 			}
 		});
 	}
 
 	@Override
 	public void failed(Call call, BackendServer server, Failure failure) {
-		this.loop.post((now) -> failed(call, server, failure, now));
+		this.loop.post((nowNanos) -> failed(call, server, failure, nowNanos));
 	}
 
 	@Override
 	public void ended(Call call, BackendServer server, Ending ending) {
-		this.loop.post((now) -> {
-			this.guard.over(call);
+		this.loop.post((nowNanos) -> {
+			this.crashGuard.ended(call);
 			Optional<CallProgress> progress = Optional.ofNullable(this.calls.remove(call));
-			progress.ifPresent(this::promptRead);
+			progress.ifPresent(this::promptPrefilled);
 			switch (ending) {
 				case ANSWERED -> {
-					this.servers.ended(server.start(), false, now);
-					progress.ifPresent((known) -> this.guard.answered(call, server, known.sentNanos(), now));
+					this.servers.ended(server.start(), false, nowNanos);
+					progress.ifPresent((known) -> this.crashGuard.answered(call, server, known.sentNanos(), nowNanos));
 				}
 				// An unresponsive server still accepts calls on open connections and
 				// never responds, so only missing responses reveal it.
 				case UNANSWERED -> {
-					this.servers.ended(server.start(), true, now);
+					this.servers.ended(server.start(), true, nowNanos);
 					this.rollouts.failed(call.service(), call.route().name(), server);
 				}
 				case ABANDONED -> this.servers.abandoned(server.start());
@@ -216,45 +217,45 @@
 
 	@Override
 	public void dropped(Call call) {
-		this.loop.post((now) -> {
-			this.guard.over(call);
+		this.loop.post((nowNanos) -> {
+			this.crashGuard.ended(call);
 			Optional.ofNullable(this.calls.remove(call))
 				.filter((progress) -> !progress.ran())
-				.ifPresent((progress) -> this.quotas.giveBack(call, progress, now));
+				.ifPresent((progress) -> this.quotas.giveBack(call, progress, nowNanos));
 		});
 	}
 
 	// -- decisions, on the control thread
 
-	private void admit(Call call, long now) {
-		this.guard.admit(call, (at) -> take(call, at), now);
+	private void admit(Call call, long nowNanos) {
+		this.crashGuard.admit(call, (at) -> take(call, at), nowNanos);
 	}
 
-	private void take(Call call, long now) {
+	private void take(Call call, long nowNanos) {
 		CallProgress progress = CallProgress.of(call);
-		if (call.organisation().isPresent() && !this.quotas.take(call, progress, now)) {
+		if (call.organisation().isPresent() && !this.quotas.take(call, progress, nowNanos)) {
 			return;
 		}
 		this.calls.put(call, progress);
-		this.retries.first(call.service(), now);
-		dispatch(call, progress, now);
+		this.retries.first(call.service(), nowNanos);
+		dispatch(call, progress, nowNanos);
 	}
 
-	private void dispatch(Call call, CallProgress progress, long now) {
-		switch (choose(call, progress, now)) {
-			case Choice.Chosen chosen -> send(call, progress, chosen, now);
-			case Choice.Full full -> unserved(call, progress, fullRetryMillis(), Refusal.of(Cause.NO_ROOM,
+	private void dispatch(Call call, CallProgress progress, long nowNanos) {
+		switch (choose(call, progress, nowNanos)) {
+			case Choice.Chosen chosen -> send(call, progress, chosen, nowNanos);
+			case Choice.Full full -> endUnserved(call, progress, fullRetryMillis(), Refusal.of(Cause.NO_ROOM,
 					full.servers() + " servers have no room, first token after " + full.expectedMillis() + " ms"));
 			case Choice.NoServer _ ->
-				unserved(call, progress, fullRetryMillis(), Refusal.of(Cause.NO_SERVER, call.service()));
+				endUnserved(call, progress, fullRetryMillis(), Refusal.of(Cause.NO_SERVER, call.service()));
 		}
 	}
 
-	private Choice choose(Call call, CallProgress progress, long now) {
-		Wish wish = wish(call, progress, now);
+	private Choice choose(Call call, CallProgress progress, long nowNanos) {
+		Wish requirements = requirements(call, progress, nowNanos);
 		Choice choice = new Choice.NoServer();
-		for (Versions versions : this.rollouts.versions(call.service(), !progress.tried().isEmpty(), now)) {
-			choice = this.dispatcher.choose(wish, progress.tried(), versions::allows, now);
+		for (Versions versions : this.rollouts.versions(call.service(), !progress.tried().isEmpty(), nowNanos)) {
+			choice = this.dispatcher.choose(requirements, progress.tried(), versions::allows, nowNanos);
 			if (choice instanceof Choice.Chosen) {
 				return choice;
 			}
@@ -264,7 +265,7 @@
 
 	// A refusal guarantees that the call did not run. A call that finds no server for its
 	// retry may have run at the first one, so it is ended without that guarantee.
-	private static void unserved(Call call, CallProgress progress, long retryAfterMillis, Refusal refusal) {
+	private static void endUnserved(Call call, CallProgress progress, long retryAfterMillis, Refusal refusal) {
 		if (progress.ran()) {
 			call.giveUp(refusal);
 		}
@@ -273,12 +274,12 @@
 		}
 	}
 
-	private Wish wish(Call call, CallProgress progress, long now) {
-		long age = (now - call.arrivedNanos()) / NANOS_PER_MILLI;
+	private Wish requirements(Call call, CallProgress progress, long nowNanos) {
+		long age = (nowNanos - call.arrivedNanos()) / NANOS_PER_MILLI;
 		Optional<Prompt> prompt = call.terms().prompt();
-		return new Wish(call.service(), progress.shared(), engine(call.service()),
+		return new Wish(call.service(), progress.prefix(), engine(call.service()),
 				prompt.map(Prompt::ownTokens).orElse(0),
-				Wish.millisLeft(call.route().targetMillis() - age, call.remainingMillis(now), progress.ran()),
+				Wish.millisLeft(call.route().targetMillis() - age, call.remainingMillis(nowNanos), progress.ran()),
 				call.priority());
 	}
 
@@ -295,55 +296,55 @@
 		return engine(service).map(EngineSpec::kvTokens).orElse(0L);
 	}
 
-	private void send(Call call, CallProgress progress, Choice.Chosen chosen, long now) {
+	private void send(Call call, CallProgress progress, Choice.Chosen chosen, long nowNanos) {
 		BackendServer server = chosen.server();
 		EventLog.info(TrafficEvents.CALL_DISPATCHED, "request", call.id(), "digest",
 				call.digest().map(RequestDigest::toString).orElse("none"), "route", call.route().name(), "organisation",
 				call.organisation().map(Organisation::name).orElse("none"), "units", Math.round(progress.units()),
-				"quota", progress.quota(), "gateways", progress.gateways(), "parts",
+				"quota", progress.quotaUsage(), "gateways", progress.sharingGateways(), "parts",
 				call.terms().prompt().map(Prompt::partList).orElse("none"), "targetMillis", call.route().targetMillis(),
 				"server", server.id(), "zone", server.zone(), "load", chosen.load(), "unreadTokens",
 				chosen.unreadTokens(), "fetchFrom", chosen.fetchFrom().map(BackendServer::id).orElse("none"),
 				"expectedMillis", chosen.expectedMillis(), "candidates", chosen.candidates(), "version",
 				server.version(), "serversVersion", this.serversVersion, "serversAgeMillis",
-				(now - this.serversNanos) / NANOS_PER_MILLI, "serversProvenMillis", serversProvenMillis(now),
-				"serversProvenBy", this.serversFreshness.source(), "configuration",
+				(nowNanos - this.serversUpdatedNanos) / NANOS_PER_MILLI, "serversProvenMillis",
+				serversConfirmedMillis(nowNanos), "serversProvenBy", this.serversFreshness.source(), "configuration",
 				this.configuration.map(TrafficConfiguration::version).orElse(0L), "remainingMillis",
-				call.remainingMillis(now));
-		progress.sent(chosen, now);
+				call.remainingMillis(nowNanos));
+		progress.sent(chosen, nowNanos);
 		this.servers.sent(server.start(), chosen.unreadTokens());
-		this.servers.reads(server.start(), progress.shared(), memoryTokens(call.service()));
+		this.servers.reads(server.start(), progress.prefix(), memoryTokens(call.service()));
 		this.readingTokens += chosen.unreadTokens();
-		call.send(server, mostConnections(call.service()), chosen.fetchFrom().map(BackendServer::address));
+		call.send(server, maxConnections(call.service()), chosen.fetchFrom().map(BackendServer::address));
 	}
 
-	private String serversProvenMillis(long now) {
-		OptionalLong age = this.serversFreshness.ageNanos(now);
+	private String serversConfirmedMillis(long nowNanos) {
+		OptionalLong age = this.serversFreshness.ageNanos(nowNanos);
 		return age.isPresent() ? String.valueOf(age.getAsLong() / NANOS_PER_MILLI) : "never";
 	}
 
-	private void failed(Call call, BackendServer server, Failure failure, long now) {
-		this.guard.failed(call, server, failure, now);
+	private void failed(Call call, BackendServer server, Failure failure, long nowNanos) {
+		this.crashGuard.failed(call, server, failure, nowNanos);
 		boolean serverFault = !(failure.answered() && failure.verdict() instanceof Verdict.NotRun);
 		CallProgress progress = this.calls.get(call);
-		this.servers.ended(server.start(), serverFault, now);
+		this.servers.ended(server.start(), serverFault, nowNanos);
 		if (progress == null) {
 			return;
 		}
-		promptRead(progress);
+		promptPrefilled(progress);
 		boolean notRun = failure.verdict() instanceof Verdict.NotRun;
 		if (!notRun) {
 			progress.mayHaveRun();
 			this.rollouts.failed(call.service(), call.route().name(), server);
 		}
-		Optional<Refusal> held = this.guard.heldBack(call);
-		if (held.isPresent()) {
-			unserved(call, progress, CrashGuard.RETRY_MILLIS, held.get());
+		Optional<Refusal> quarantine = this.crashGuard.quarantineRefusal(call);
+		if (quarantine.isPresent()) {
+			endUnserved(call, progress, CrashGuard.QUARANTINE_RETRY_MILLIS, quarantine.get());
 			return;
 		}
-		Optional<Cause> refusal = refusal(call, progress, failure, notRun, now);
+		Optional<Cause> refusal = refusal(call, progress, failure, notRun, nowNanos);
 		if (refusal.isEmpty()) {
-			dispatch(call, progress, now);
+			dispatch(call, progress, nowNanos);
 		}
 		else if (notRun) {
 			call.refuse(503, fullRetryMillis(), Refusal.of(refusal.get(), failure.cause()));
@@ -356,10 +357,11 @@
 	// Returns why a call must not be retried, empty if it may be. A call that may have
 	// run is retried only if its route is repeatable, that is, running it twice does no
 	// harm.
-	private Optional<Cause> refusal(Call call, CallProgress progress, Failure failure, boolean notRun, long now) {
+	private Optional<Cause> refusal(Call call, CallProgress progress, Failure failure, boolean notRun, long nowNanos) {
 		if (!failure.sent()) {
 			progress.notSent();
-			return (progress.unsent() < UNSENT_MOST) ? Optional.empty() : Optional.of(Cause.NO_CONNECTION);
+			return (progress.unsentAttempts() < MAX_UNSENT_ATTEMPTS) ? Optional.empty()
+					: Optional.of(Cause.NO_CONNECTION);
 		}
 		if (!notRun && !call.route().repeatable()) {
 			return Optional.of(Cause.MAY_HAVE_RUN);
@@ -370,7 +372,7 @@
 		if (call.sends() >= call.route().maxAttempts()) {
 			return Optional.of(Cause.ATTEMPTS_USED);
 		}
-		if (!this.retries.take(call.service(), now)) {
+		if (!this.retries.take(call.service(), nowNanos)) {
 			return Optional.of(Cause.RETRIES_USED);
 		}
 		return Optional.empty();
@@ -381,12 +383,12 @@
 		first.work().ifPresent((work) -> this.dispatcher.model(service).learn(work, first.millis()));
 	}
 
-	private void promptRead(CallProgress progress) {
-		long tokens = progress.takeUnread();
+	private void promptPrefilled(CallProgress progress) {
+		long tokens = progress.takeUncachedTokens();
 		progress.server().ifPresent((server) -> this.servers.read(server, tokens));
 	}
 
-	private int mostConnections(String service) {
+	private int maxConnections(String service) {
 		int cap = this.configuration.flatMap((known) -> known.service(service))
 			.map(ServiceSpec::maxConnections)
 			.orElse(0);
@@ -413,15 +415,15 @@
 				(known == Long.MIN_VALUE) ? "none" : known);
 	}
 
-	void serversSeen(long version, long now) {
+	void serversSeen(long version, long nowNanos) {
 		this.serversVersion = version;
-		this.serversNanos = now;
+		this.serversUpdatedNanos = nowNanos;
 		serversChanged();
 	}
 
 	/** Refreshes the set of servers that accept calls. */
 	void serversChanged() {
-		this.takers = this.servers.takers();
+		this.eligibleServers = this.servers.takers();
 	}
 
 	/**
@@ -442,8 +444,8 @@
 	 * @param request the digest of the request
 	 */
 	void withdraw(RequestDigest request) {
-		this.guard.copies(request, this.calls.keySet())
-			.forEach((call) -> this.guard.withdraw(call, this.calls.get(call).ran()));
+		this.crashGuard.copies(request, this.calls.keySet())
+			.forEach((call) -> this.crashGuard.withdraw(call, this.calls.get(call).ran()));
 	}
 
 	/**
@@ -453,7 +455,7 @@
 	 * @param reply receives whether the server is alive
 	 */
 	void ask(BackendServer server, Gateway gateway, Consumer<Boolean> reply) {
-		gateway.ask(server, mostConnections(server.service()), reply);
+		gateway.ask(server, maxConnections(server.service()), reply);
 	}
 
 	/**
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PauseWatch.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PauseWatch.java
@@ -10,21 +10,21 @@
 final class PauseWatch {
 
 	/** Process pauses longer than this are reported, in milliseconds. */
-	private static final long PAUSE_MILLIS = 700;
+	private static final long MIN_PAUSE_MILLIS = 700;
 
 	/**
 	 * Difference by which the time of day must advance more than the monotonic clock to
 	 * show a suspension, in milliseconds; larger than a single clock adjustment.
 	 */
-	private static final long SUSPENDED_MILLIS = 500;
+	private static final long MIN_SUSPENSION_MILLIS = 500;
 
-	private long lookedNanos;
+	private long checkedNanos;
 
-	private long lookedMillis;
+	private long checkedMillis;
 
 	PauseWatch(long nowNanos, long epochMillis) {
-		this.lookedNanos = nowNanos;
-		this.lookedMillis = epochMillis;
+		this.checkedNanos = nowNanos;
+		this.checkedMillis = epochMillis;
 	}
 
 	/**
@@ -34,15 +34,15 @@
 	 * @return what happened since the last check
 	 */
 	Finding look(long nowNanos, long epochMillis) {
-		long monotonicMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - this.lookedNanos);
-		long dayMillis = epochMillis - this.lookedMillis;
-		this.lookedNanos = nowNanos;
-		this.lookedMillis = epochMillis;
-		if (dayMillis - monotonicMillis > SUSPENDED_MILLIS) {
-			return new Finding.Suspended(dayMillis, monotonicMillis);
+		long monotonicMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - this.checkedNanos);
+		long wallClockMillis = epochMillis - this.checkedMillis;
+		this.checkedNanos = nowNanos;
+		this.checkedMillis = epochMillis;
+		if (wallClockMillis - monotonicMillis > MIN_SUSPENSION_MILLIS) {
+			return new Finding.Suspended(wallClockMillis, monotonicMillis);
 		}
-		long millis = Math.max(dayMillis, monotonicMillis);
-		return (millis > PAUSE_MILLIS) ? new Finding.Paused(millis, monotonicMillis) : new Finding.Running();
+		long millis = Math.max(wallClockMillis, monotonicMillis);
+		return (millis > MIN_PAUSE_MILLIS) ? new Finding.Paused(millis, monotonicMillis) : new Finding.Running();
 	}
 
 	/** What happened between two checks. */
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashTrials.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/QuarantineProbes.java
@@ -25,10 +25,10 @@
  * their restarts, because the probe is recorded in the store before the request is sent.
  * Confined to the control thread.
  */
-final class CrashTrials {
+final class QuarantineProbes {
 
 	/** The delay before a failed deletion of a row is retried. */
-	private static final Duration AGAIN = Duration.ofSeconds(1);
+	private static final Duration RETRY_INTERVAL = Duration.ofSeconds(1);
 
 	private final RowStore store;
 
@@ -40,21 +40,21 @@
 	private final String process;
 
 	/** Called when the probe of a request was granted or given back. */
-	private final Consumer<RequestDigest> changed;
+	private final Consumer<RequestDigest> onChange;
 
 	/** The gateway process that has, or had, the probe of each request. */
 	private final Map<RequestDigest, String> holders = new HashMap<>();
 
 	/** Probes that this process claimed and has not given back. */
-	private final Set<RequestDigest> own = new HashSet<>();
+	private final Set<RequestDigest> ownClaims = new HashSet<>();
 
-	CrashTrials(RowStore store, CrashTable table, ControlLoop control, String process,
+	QuarantineProbes(RowStore store, CrashTable table, ControlLoop control, String process,
 			Consumer<RequestDigest> changed) {
 		this.store = store;
 		this.table = table;
 		this.control = control;
 		this.process = process;
-		this.changed = changed;
+		this.onChange = changed;
 	}
 
 	/**
@@ -63,13 +63,13 @@
 	 * @param reply receives whether the claim was granted
 	 */
 	void claim(RequestDigest request, Consumer<Boolean> reply) {
-		if (!this.own.add(request)) {
+		if (!this.ownClaims.add(request)) {
 			reply.accept(false);
 			return;
 		}
-		String key = CrashRows.trialKey(request);
+		String key = CrashRows.probeKey(request);
 		Commit commit = new Commit(CrashRows.TABLE, List.of(new Condition(key, 0)),
-				List.of(new Write(key, CrashRows.writeTrial(this.process))), List.of());
+				List.of(new Write(key, CrashRows.writeProbe(this.process))), List.of());
 		this.store.commit(commit)
 			.subscribe(
 					(outcome) -> this.control
@@ -83,10 +83,10 @@
 	private void claimed(RequestDigest request, boolean granted, Consumer<Boolean> reply) {
 		EventLog.info(GatewayEvents.REQUEST_ON_TRIAL, "digest", request, "granted", granted);
 		if (granted) {
-			given(request, this.process);
+			granted(request, this.process);
 		}
 		else {
-			this.own.remove(request);
+			this.ownClaims.remove(request);
 			giveBackUnused(request);
 		}
 		reply.accept(granted);
@@ -97,12 +97,12 @@
 	 * @param request the digest of the request
 	 */
 	void giveBack(RequestDigest request) {
-		this.own.remove(request);
-		String key = CrashRows.trialKey(request);
+		this.ownClaims.remove(request);
+		String key = CrashRows.probeKey(request);
 		this.store.commit(new Commit(CrashRows.TABLE, List.of(), List.of(), List.of(key))).subscribe((_) -> {
 		}, (failure) -> {
 			RowLog.failed(key, "delete", failure);
-			Mono.delay(AGAIN).subscribe((_) -> this.control.post((_) -> giveBackUnused(request)));
+			Mono.delay(RETRY_INTERVAL).subscribe((_) -> this.control.post((_) -> giveBackUnused(request)));
 		});
 	}
 
@@ -110,13 +110,13 @@
 	// nothing was sent. Without giving that probe back, the request would stay
 	// quarantined.
 	private void giveBackUnused(RequestDigest request) {
-		boolean unused = this.process.equals(this.holders.get(request)) && !this.own.contains(request);
+		boolean unused = this.process.equals(this.holders.get(request)) && !this.ownClaims.contains(request);
 		if (unused) {
 			giveBack(request);
 		}
 	}
 
-	boolean isGiven(RequestDigest request) {
+	boolean isGranted(RequestDigest request) {
 		return this.holders.containsKey(request);
 	}
 
@@ -127,10 +127,10 @@
 	 * @param request the digest of the request
 	 * @param holder the gateway process that has the probe
 	 */
-	void given(RequestDigest request, String holder) {
+	void granted(RequestDigest request, String holder) {
 		this.holders.put(request, holder);
 		this.table.trial(request, true);
-		this.changed.accept(request);
+		this.onChange.accept(request);
 		giveBackUnused(request);
 	}
 
@@ -138,10 +138,10 @@
 	 * Records that the store no longer has the row of a probe.
 	 * @param request the digest of the request
 	 */
-	void gone(RequestDigest request) {
+	void rowRemoved(RequestDigest request) {
 		if (this.holders.remove(request) != null) {
 			this.table.trial(request, false);
-			this.changed.accept(request);
+			this.onChange.accept(request);
 		}
 	}
 
@@ -152,8 +152,8 @@
 	void retain(Set<String> keys) {
 		List.copyOf(this.holders.keySet())
 			.stream()
-			.filter((request) -> !keys.contains(CrashRows.trialKey(request)))
-			.forEach(this::gone);
+			.filter((request) -> !keys.contains(CrashRows.probeKey(request)))
+			.forEach(this::rowRemoved);
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RolloutDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RolloutDuty.java
@@ -55,7 +55,7 @@
 	private final Consumer<Runnable> control;
 
 	/** Cached state of the rows since this process took over the duties, by service. */
-	private final Map<String, Work> works = new HashMap<>();
+	private final Map<String, CachedRows> cache = new HashMap<>();
 
 	RolloutDuty(RowStore store, RecordCodec records, Rollouts rollouts, BackendTable servers,
 			Consumer<Runnable> control) {
@@ -68,19 +68,19 @@
 
 	/** Drops the cached state, because another process may write the rows from now on. */
 	void pause() {
-		this.works.clear();
+		this.cache.clear();
 	}
 
 	/**
 	 * Advances each roll-out by at most one step.
 	 * @param epochMillis the time of day, in milliseconds since 1970
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void act(long epochMillis, long now) {
+	void act(long epochMillis, long nowNanos) {
 		this.rollouts.table().all().forEach((rollout) -> {
-			Work work = this.works.computeIfAbsent(rollout.order().service(), (_) -> new Work());
-			if (!work.busy) {
-				act(work, rollout, epochMillis, now);
+			CachedRows cached = this.cache.computeIfAbsent(rollout.order().service(), (_) -> new CachedRows());
+			if (!cached.requestInProgress) {
+				act(cached, rollout, epochMillis, nowNanos);
 			}
 		});
 	}
@@ -91,132 +91,133 @@
 	 * @return the phase in the store; empty if this process has not read it
 	 */
 	Optional<Phase> phase(String service) {
-		return Optional.ofNullable(this.works.get(service)).flatMap((work) -> work.state).map(State::phase);
+		return Optional.ofNullable(this.cache.get(service)).flatMap((cached) -> cached.state).map(State::phase);
 	}
 
-	private void act(Work work, Rollout rollout, long epochMillis, long now) {
+	private void act(CachedRows cached, Rollout rollout, long epochMillis, long nowNanos) {
 		RolloutOrder order = rollout.order();
-		if (!work.loaded) {
-			load(work, order.service());
+		if (!cached.loaded) {
+			load(cached, order.service());
 			return;
 		}
-		if (work.state.filter((state) -> state.isOf(order)).isEmpty()) {
-			write(work, rollout, new State(order.to(), order.number(), epochMillis, Phase.TRIAL));
+		if (cached.state.filter((state) -> state.belongsTo(order)).isEmpty()) {
+			write(cached, rollout, new State(order.to(), order.number(), epochMillis, Phase.TRIAL));
 			return;
 		}
-		State state = work.state.orElseThrow();
-		Optional<Phase> next = next(rollout, state, epochMillis);
-		rollout.said(state.phase(), now);
+		State state = cached.state.orElseThrow();
+		Optional<Phase> next = nextPhase(rollout, state, epochMillis);
+		rollout.said(state.phase(), nowNanos);
 		if (next.isPresent()) {
-			write(work, rollout, state.with(next.get()));
+			write(cached, rollout, state.with(next.get()));
 		}
 		else {
-			tell(work, order.service(), state);
+			writeOperatorRow(cached, order.service(), state);
 		}
 	}
 
-	private Optional<Phase> next(Rollout rollout, State state, long epochMillis) {
+	private Optional<Phase> nextPhase(Rollout rollout, State state, long epochMillis) {
 		boolean withdrawn = rollout.phase() == Phase.ROLLED_BACK && state.phase().leadsTo(Phase.ROLLED_BACK);
 		if (withdrawn) {
 			return Optional.of(Phase.ROLLED_BACK);
 		}
 		return RolloutPlan.next(rollout.order(), state.phase(), rollout.verdict(), epochMillis - state.sinceMillis(),
-				present(rollout));
+				serverCounts(rollout));
 	}
 
 	private void logPhase(Rollout rollout, State state) {
-		RolloutPlan.Servers present = present(rollout);
+		RolloutPlan.Servers counts = serverCounts(rollout);
 		EventLog.info(GatewayEvents.ROLLOUT_PHASE, "service", rollout.order().service(), "to", state.to(), "number",
 				state.number(), "phase", state.phase(), "verdict", rollout.verdict(), "sinceMillis",
 				System.currentTimeMillis() - state.sinceMillis(), "durationMillis", rollout.order().durationMillis(),
-				"freshServers", present.fresh(), "oldServers", present.old(), "oldCalls", present.oldCalls());
+				"freshServers", counts.fresh(), "oldServers", counts.old(), "oldCalls", counts.oldCalls());
 	}
 
-	private RolloutPlan.Servers present(Rollout rollout) {
+	private RolloutPlan.Servers serverCounts(Rollout rollout) {
 		String service = rollout.order().service();
-		List<BackendServer> stay = this.servers.serversOf(service)
+		List<BackendServer> staying = this.servers.serversOf(service)
 			.stream()
 			.filter((server) -> !server.leaving())
 			.toList();
-		int fresh = (int) stay.stream().filter(rollout::isFresh).count();
-		int oldCalls = this.servers.callsAt((server) -> server.service().equals(service) && !rollout.isFresh(server));
-		return new RolloutPlan.Servers(fresh, stay.size() - fresh, oldCalls);
+		int candidates = (int) staying.stream().filter(rollout::isFresh).count();
+		int baselineCalls = this.servers
+			.callsAt((server) -> server.service().equals(service) && !rollout.isFresh(server));
+		return new RolloutPlan.Servers(candidates, staying.size() - candidates, baselineCalls);
 	}
 
 	// -- the state row
 
-	private void load(Work work, String service) {
-		work.busy = true;
+	private void load(CachedRows cached, String service) {
+		cached.requestInProgress = true;
 		this.store.read(new Range(TABLE, service, service + '\0')).subscribe((page) -> this.control.accept(() -> {
 			Optional<Row> row = page.rows().stream().findFirst();
-			work.state = row.flatMap((known) -> State.read(known, service));
-			work.version = row.map(Row::version).orElse(0L);
-			work.loaded = true;
-			work.busy = false;
-		}), (failure) -> failed(work, service, "read", failure));
+			cached.state = row.flatMap((known) -> State.read(known, service));
+			cached.version = row.map(Row::version).orElse(0L);
+			cached.loaded = true;
+			cached.requestInProgress = false;
+		}), (failure) -> failed(cached, service, "read", failure));
 	}
 
-	private void write(Work work, Rollout rollout, State state) {
-		work.busy = true;
+	private void write(CachedRows cached, Rollout rollout, State state) {
+		cached.requestInProgress = true;
 		String service = rollout.order().service();
-		Commit commit = new Commit(TABLE, List.of(new Condition(service, work.version)),
+		Commit commit = new Commit(TABLE, List.of(new Condition(service, cached.version)),
 				List.of(new Write(service, state.bytes())), List.of());
 		this.store.commit(commit).subscribe((outcome) -> this.control.accept(() -> {
-			work.busy = false;
+			cached.requestInProgress = false;
 			switch (outcome) {
 				case Outcome.Committed done -> {
-					work.state = Optional.of(state);
-					work.version = done.version();
+					cached.state = Optional.of(state);
+					cached.version = done.version();
 					logPhase(rollout, state);
 				}
-				case Outcome.Conflict _ -> work.loaded = false;
+				case Outcome.Conflict _ -> cached.loaded = false;
 			}
-		}), (failure) -> failed(work, service, "write", failure));
+		}), (failure) -> failed(cached, service, "write", failure));
 	}
 
 	// A failed write may have taken effect or may do so later, so the row is read again
 	// first.
-	private void failed(Work work, String row, String call, Throwable failure) {
+	private void failed(CachedRows cached, String row, String call, Throwable failure) {
 		this.control.accept(() -> {
 			RowLog.failed(row, call, failure);
-			work.loaded = false;
-			work.told = Optional.empty();
-			work.busy = false;
+			cached.loaded = false;
+			cached.operatorValue = Optional.empty();
+			cached.requestInProgress = false;
 		});
 	}
 
 	// -- the operator's row
 
-	private void tell(Work work, String service, State state) {
+	private void writeOperatorRow(CachedRows cached, String service, State state) {
 		byte[] value = this.records.rolloutState(state.to(), state.phase());
-		if (work.told.filter((told) -> Arrays.equals(told, value)).isPresent()) {
+		if (cached.operatorValue.filter((written) -> Arrays.equals(written, value)).isPresent()) {
 			return;
 		}
-		work.busy = true;
+		cached.requestInProgress = true;
 		RecordCodec.Place place = this.records.rolloutState(service);
 		this.store.read(new Range(place.table(), place.key(), place.key() + '\0')).flatMap((page) -> {
 			long version = page.rows().stream().findFirst().map(Row::version).orElse(0L);
 			return this.store.commit(new Commit(place.table(), List.of(new Condition(place.key(), version)),
 					List.of(new Write(place.key(), value)), List.of()));
 		})
-			.subscribe((outcome) -> this.control.accept(() -> told(work, place.key(), value, outcome)),
-					(failure) -> failed(work, place.key(), "write", failure));
+			.subscribe((outcome) -> this.control.accept(() -> operatorRowWritten(cached, place.key(), value, outcome)),
+					(failure) -> failed(cached, place.key(), "write", failure));
 	}
 
-	private static void told(Work work, String row, byte[] value, Outcome outcome) {
-		work.busy = false;
+	private static void operatorRowWritten(CachedRows cached, String row, byte[] value, Outcome outcome) {
+		cached.requestInProgress = false;
 		if (outcome instanceof Outcome.Committed done) {
-			work.told = Optional.of(value);
+			cached.operatorValue = Optional.of(value);
 			EventLog.info(GatewayEvents.ROLLOUT_STATE_WRITTEN, "row", row, "state",
 					new String(value, StandardCharsets.UTF_8), "rowVersion", done.version());
 		}
 	}
 
 	/** Cached state of the rows of a service. */
-	private static final class Work {
+	private static final class CachedRows {
 
 		/** Whether a request to the store is in progress. */
-		private boolean busy;
+		private boolean requestInProgress;
 
 		/** Whether the state row was read. */
 		private boolean loaded;
@@ -226,7 +227,7 @@
 		private Optional<State> state = Optional.empty();
 
 		/** The value last written to the operator's row; empty if not known. */
-		private Optional<byte[]> told = Optional.empty();
+		private Optional<byte[]> operatorValue = Optional.empty();
 
 	}
 
@@ -240,7 +241,7 @@
 	 */
 	private record State(String to, long number, long sinceMillis, Phase phase) {
 
-		private boolean isOf(RolloutOrder order) {
+		private boolean belongsTo(RolloutOrder order) {
 			return this.to.equals(order.to()) && (this.number == order.number() || !this.phase.isFinal());
 		}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/Rollouts.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/Rollouts.java
@@ -33,18 +33,18 @@
 
 	private final BackendTable servers;
 
-	private final DoubleSupplier draw;
+	private final DoubleSupplier random;
 
 	/** The name of this gateway process, unique to this start. */
-	private final String self;
+	private final String ownProcess;
 
 	private final Map<String, LatencyReference> references = new HashMap<>();
 
-	Rollouts(RolloutTable table, BackendTable servers, String self, DoubleSupplier draw) {
+	Rollouts(RolloutTable table, BackendTable servers, String ownProcess, DoubleSupplier random) {
 		this.table = table;
 		this.servers = servers;
-		this.self = self;
-		this.draw = draw;
+		this.ownProcess = ownProcess;
+		this.random = random;
 	}
 
 	// -- orders
@@ -59,9 +59,9 @@
 
 	// Servers of a candidate version whose order was withdrawn before it succeeded get no
 	// calls.
-	void withdrawn(String service, long now) {
+	void withdrawn(String service, long nowNanos) {
 		this.table.find(service)
-			.filter((rollout) -> rollout.said(Phase.ROLLED_BACK, now))
+			.filter((rollout) -> rollout.said(Phase.ROLLED_BACK, nowNanos))
 			.ifPresent((rollout) -> EventLog.info(GatewayEvents.ROLLOUT_WITHDRAWN, "service", service, "to",
 					rollout.order().to(), "number", rollout.order().number()));
 	}
@@ -76,13 +76,14 @@
 	/**
 	 * Returns which versions may serve a call.
 	 * @param service the name of the service
-	 * @param again whether the call is a retry
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param retry whether the call is a retry
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the rules in the order in which they are tried
 	 */
-	List<Versions> versions(String service, boolean again, long now) {
+	List<Versions> versions(String service, boolean retry, long nowNanos) {
 		return this.table.find(service)
-			.map((rollout) -> rollout.versions(this.servers.serversOf(service), again, this.draw.getAsDouble(), now))
+			.map((rollout) -> rollout.versions(this.servers.serversOf(service), retry, this.random.getAsDouble(),
+					nowNanos))
 			.orElse(List.of(Versions.any()));
 	}
 
@@ -95,9 +96,9 @@
 	 * with 0 expected where there was no expectation
 	 */
 	void began(String service, String route, BackendServer.Start server, double ratio) {
-		underWay(service).ifPresent((rollout) -> this.servers.find(server.id()).ifPresent((known) -> {
-			boolean fresh = rollout.isFresh(known);
-			rollout.ended(route, fresh, this.references.get(service).isSlow(route, fresh, ratio));
+		inProgress(service).ifPresent((rollout) -> this.servers.find(server.id()).ifPresent((known) -> {
+			boolean candidate = rollout.isFresh(known);
+			rollout.ended(route, candidate, this.references.get(service).isSlow(route, candidate, ratio));
 		}));
 	}
 
@@ -108,10 +109,10 @@
 	 * @param server the server
 	 */
 	void failed(String service, String route, BackendServer server) {
-		underWay(service).ifPresent((rollout) -> rollout.ended(route, rollout.isFresh(server), true));
+		inProgress(service).ifPresent((rollout) -> rollout.ended(route, rollout.isFresh(server), true));
 	}
 
-	private Optional<Rollout> underWay(String service) {
+	private Optional<Rollout> inProgress(String service) {
 		return this.table.find(service).filter((rollout) -> !rollout.phase().isFinal());
 	}
 
@@ -138,24 +139,24 @@
 	 * Returns the updates for the other gateways.
 	 * @param phases the phase of a service's roll-out, if this gateway holds the duties;
 	 * empty at all other gateways
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the updates
 	 */
-	List<RolloutNews> news(Function<String, Optional<Phase>> phases, long now) {
-		List<RolloutNews> news = new ArrayList<>();
+	List<RolloutNews> news(Function<String, Optional<Phase>> phases, long nowNanos) {
+		List<RolloutNews> updates = new ArrayList<>();
 		this.table.all().forEach((rollout) -> {
-			rollout.counted(this.self, rollout.own(), now);
+			rollout.counted(this.ownProcess, rollout.own(), nowNanos);
 			Optional<Phase> phase = phases.apply(rollout.order().service());
 			if (phase.isPresent() || !rollout.phase().isFinal()) {
-				news.add(news(rollout, phase));
+				updates.add(news(rollout, phase));
 			}
 		});
-		return news;
+		return updates;
 	}
 
 	private static RolloutNews news(Rollout rollout, Optional<Phase> phase) {
 		RolloutOrder order = rollout.order();
-		RolloutNews.Builder told = RolloutNews.newBuilder()
+		RolloutNews.Builder update = RolloutNews.newBuilder()
 			.setService(order.service())
 			.setTo(order.to())
 			.setDurationMillis(order.durationMillis())
@@ -164,45 +165,45 @@
 		if (!rollout.phase().isFinal()) {
 			rollout.own()
 				.forEach((route,
-						tally) -> told.addTallies(RolloutTally.newBuilder()
+						tally) -> update.addTallies(RolloutTally.newBuilder()
 							.setRoute(route)
 							.setFreshCalls(tally.fresh().calls())
 							.setFreshBad(tally.fresh().bad())
 							.setOldCalls(tally.old().calls())
 							.setOldBad(tally.old().bad())));
 		}
-		return told.build();
+		return update.build();
 	}
 
 	/**
 	 * Applies updates received from another gateway.
 	 * @param process the sending gateway process
-	 * @param news the updates
-	 * @param now the current time on the monotonic clock, in nanoseconds
+	 * @param updates the updates
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void heard(String process, List<RolloutNews> news, long now) {
-		news.forEach((told) -> heard(process, told, now));
+	void heard(String process, List<RolloutNews> updates, long nowNanos) {
+		updates.forEach((update) -> heard(process, update, nowNanos));
 	}
 
 	// A gateway whose requests the store rejects also learns of the order this way.
-	private void heard(String process, RolloutNews told, long now) {
-		ordered(new RolloutOrder(told.getService(), told.getTo(), told.getDurationMillis(), told.getNumber()));
-		Rollout rollout = this.table.find(told.getService()).orElseThrow();
-		if (!rollout.order().to().equals(told.getTo()) || told.getNumber() < rollout.order().number()) {
+	private void heard(String process, RolloutNews update, long nowNanos) {
+		ordered(new RolloutOrder(update.getService(), update.getTo(), update.getDurationMillis(), update.getNumber()));
+		Rollout rollout = this.table.find(update.getService()).orElseThrow();
+		if (!rollout.order().to().equals(update.getTo()) || update.getNumber() < rollout.order().number()) {
 			return;
 		}
-		if (told.getNumber() == rollout.order().number()) {
-			rollout.counted(process, tallies(told), now);
+		if (update.getNumber() == rollout.order().number()) {
+			rollout.counted(process, tallies(update), nowNanos);
 		}
-		int phase = told.getPhase() - 1;
+		int phase = update.getPhase() - 1;
 		if (phase >= 0 && phase < Phase.values().length) {
-			rollout.said(Phase.values()[phase], now);
+			rollout.said(Phase.values()[phase], nowNanos);
 		}
 	}
 
-	private static Map<String, Tally> tallies(RolloutNews told) {
+	private static Map<String, Tally> tallies(RolloutNews update) {
 		Map<String, Tally> tallies = new HashMap<>();
-		told.getTalliesList()
+		update.getTalliesList()
 			.forEach((tally) -> tallies.put(tally.getRoute(),
 					new Tally(new Counts(tally.getFreshCalls(), tally.getFreshBad()),
 							new Counts(tally.getOldCalls(), tally.getOldBad()))));
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/StopTimes.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/StopTimes.java
@@ -16,7 +16,7 @@
 	 * Time that the response to a timed-out call takes to reach its caller, in
 	 * milliseconds.
 	 */
-	private static final long END_MARGIN_MILLIS = 200;
+	private static final long RESPONSE_MARGIN_MILLIS = 200;
 
 	/**
 	 * Creates the times of a stop from the time of the signal. Taken from the next check
@@ -48,7 +48,7 @@
 	 * @return false if the process may end before the call does
 	 */
 	boolean accepts(long timeoutMillis, long nowNanos) {
-		long leftMillis = TimeUnit.NANOSECONDS.toMillis(this.endsNanos - nowNanos) - END_MARGIN_MILLIS;
+		long leftMillis = TimeUnit.NANOSECONDS.toMillis(this.endsNanos - nowNanos) - RESPONSE_MARGIN_MILLIS;
 		return nowNanos - this.openUntilNanos < 0 || timeoutMillis <= leftMillis;
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CallProgressTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CallProgressTests.java
@@ -29,7 +29,7 @@
 	// no longer learn from them.
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 40 })
-	void shouldTellFirstTokenWhateverWasExpected(long expectedMillis) {
+	void shouldReportFirstTokenWhenExpectedTimeIsZeroOrMore(long expectedMillis) {
 		send(expectedMillis, Optional.of(Work.of(0, 100, 100, 1)));
 		assertThat(this.progress.firstToken(TimeUnit.MILLISECONDS.toNanos(7))).hasValueSatisfying((first) -> {
 			assertThat(first.millis()).isEqualTo(7);
@@ -38,14 +38,14 @@
 	}
 
 	@Test
-	void shouldTellFirstTokenOnce() {
+	void shouldReportFirstTokenOnlyOnce() {
 		send(40, Optional.of(Work.of(0, 100, 100, 1)));
 		this.progress.firstToken(1);
 		assertThat(this.progress.firstToken(2)).isEmpty();
 	}
 
 	@Test
-	void shouldTellNothingOfCallWithoutPrompt() {
+	void shouldReportNoFirstTokenWhenCallHasNoPrompt() {
 		send(0, Optional.empty());
 		assertThat(this.progress.firstToken(1)).isEmpty();
 	}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashRecordsTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashRecordsTests.java
@@ -38,7 +38,7 @@
 
 	private final LoopResources loops = LoopResources.create("test", 1, true);
 
-	private volatile boolean losingAnswers;
+	private volatile boolean losingResponses;
 
 	private ControlLoop control;
 
@@ -68,7 +68,7 @@
 	// A starting process takes over the crashes that others recorded, and skips rows that
 	// it cannot parse.
 	@Test
-	void shouldHoldBackByTheRowsOfTheStore() {
+	void shouldQuarantineRequestWhenStoreHasItsCrashes() {
 		this.rows.put(CrashRows.TABLE, "no digest", "{}");
 		this.rows.put(CrashRows.TABLE, REQUEST + "/0", "no crash");
 		this.rows.put(CrashRows.TABLE, REQUEST + "/trial", "no trial");
@@ -76,30 +76,30 @@
 			put(new Evidence(crash(i), State.CONFIRMED, i * 1_000L));
 		}
 		follow();
-		assertThat(this.records.isHeld(REQUEST)).isTrue();
+		assertThat(this.records.isQuarantined(REQUEST)).isTrue();
 	}
 
 	// Servers crash while the store is unavailable. Their rows are written once it is
 	// available again, so that a process that starts then reads them.
 	@Test
-	void shouldWriteWhatTheStoreLacksOnceItIsBack() {
+	void shouldWritePendingCrashesWhenStoreIsAvailableAgain() {
 		follow();
 		this.rows.away(true);
 		for (int i = 0; i < 3; i++) {
-			broke(i);
+			breakConnection(i);
 		}
-		GatewayHarness.await(() -> this.records.isHeld(REQUEST));
+		GatewayHarness.await(() -> this.records.isQuarantined(REQUEST));
 		this.rows.away(false);
 		GatewayHarness.await(() -> this.rows.rows(CrashRows.TABLE).size() == 3);
 	}
 
 	// Two gateways write the same crash, one of them in a commit with another crash.
 	@Test
-	void shouldWriteOtherRowsBesideOneThatIsThere() {
+	void shouldWriteOtherRowsWhenOneExistsAlready() {
 		follow();
 		this.rows.away(true);
-		broke(0);
-		broke(1);
+		breakConnection(0);
+		breakConnection(1);
 		GatewayHarness.await(() -> judge().servers().size() == 2);
 		put(new Evidence(crash(0), State.CONFIRMED, 0));
 		this.rows.away(false);
@@ -107,25 +107,25 @@
 	}
 
 	@Test
-	void shouldReleaseRequestWhenItsRowsAreDeleted() {
+	void shouldReleaseRequestWhenOneOfItsRowsIsDeleted() {
 		for (int i = 0; i < 3; i++) {
 			put(new Evidence(crash(i), State.CONFIRMED, i * 1_000L));
 		}
 		follow();
 		this.rows.remove(CrashRows.TABLE, CrashRows.key(crash(1)));
-		GatewayHarness.await(() -> !this.records.isHeld(REQUEST));
+		GatewayHarness.await(() -> !this.records.isQuarantined(REQUEST));
 	}
 
 	// -- the probe
 
 	// Two gateways claim the only probe of a request at the same time.
 	@Test
-	void shouldGiveTrialToOneOnly() {
-		crashAtOneMoment();
+	void shouldGrantProbeToOneGatewayOnly() {
+		crashSimultaneously();
 		follow();
-		Judgement judgement = judge();
-		assertThat(judgement).isInstanceOf(Judgement.OnTrial.class);
-		this.rows.put(CrashRows.TABLE, CrashRows.trialKey(REQUEST), "{\"gateway\":\"gateway-2/1\"}");
+		Judgement decision = judge();
+		assertThat(decision).isInstanceOf(Judgement.OnTrial.class);
+		this.rows.put(CrashRows.TABLE, CrashRows.probeKey(REQUEST), "{\"gateway\":\"gateway-2/1\"}");
 		assertThat(claim()).isFalse();
 		GatewayHarness.await(() -> judge() instanceof Judgement.Held);
 	}
@@ -133,39 +133,40 @@
 	// The response to a claim is lost although its row was written. Nothing was sent, and
 	// without giving the probe back the request would never get another one.
 	@Test
-	void shouldGiveTrialBackWhenAnswerToClaimIsLost() {
-		crashAtOneMoment();
+	void shouldGiveBackProbeWhenResponseToClaimIsLost() {
+		crashSimultaneously();
 		follow();
-		this.losingAnswers = true;
+		this.losingResponses = true;
 		assertThat(claim()).isFalse();
-		this.losingAnswers = false;
-		GatewayHarness.await(() -> !this.rows.rows(CrashRows.TABLE).containsKey(CrashRows.trialKey(REQUEST)));
+		this.losingResponses = false;
+		GatewayHarness.await(() -> !this.rows.rows(CrashRows.TABLE).containsKey(CrashRows.probeKey(REQUEST)));
 		GatewayHarness.await(this::claim);
 	}
 
 	// A probe that no server received is given back while the store is unavailable.
 	@Test
-	void shouldGiveTrialBackOnceTheStoreIsBack() {
-		crashAtOneMoment();
+	void shouldGiveBackProbeWhenStoreIsAvailableAgain() {
+		crashSimultaneously();
 		follow();
 		assertThat(claim()).isTrue();
 		this.rows.away(true);
-		this.control.post((_) -> this.records.trials().giveBack(REQUEST));
+		this.control.post((_) -> this.records.probes().giveBack(REQUEST));
 		GatewayHarness.await(() -> this.rows.refusedCommits(CrashRows.TABLE) > 0);
 		this.rows.away(false);
-		GatewayHarness.await(() -> !this.rows.rows(CrashRows.TABLE).containsKey(CrashRows.trialKey(REQUEST)));
+		GatewayHarness.await(() -> !this.rows.rows(CrashRows.TABLE).containsKey(CrashRows.probeKey(REQUEST)));
 	}
 
 	// -- helpers
 
-	private void crashAtOneMoment() {
+	private void crashSimultaneously() {
 		for (int i = 0; i < 3; i++) {
 			put(new Evidence(crash(i), State.CONFIRMED, i));
 		}
 	}
 
 	private void follow() {
-		this.records = new CrashRecords(store(), new BackendTable(), this.control, "gateway-1/1", new DeadServers());
+		this.records = new CrashRecords(store(), new BackendTable(), this.control, "gateway-1/1",
+				new UnreachableServers());
 		TableWatch watch = TableWatch.of(this.rows, CrashRows.TABLE, GatewayHarness.table(),
 				new PeerTables(this.loops, List::of), FreshnessLimits.usual(), this.records.listener());
 		this.ticking.dispose();
@@ -175,19 +176,19 @@
 
 	private boolean claim() {
 		CompletableFuture<Boolean> granted = new CompletableFuture<>();
-		this.control.post((_) -> this.records.trials().claim(REQUEST, granted::complete));
+		this.control.post((_) -> this.records.probes().claim(REQUEST, granted::complete));
 		return granted.join();
 	}
 
-	private void broke(int number) {
+	private void breakConnection(int number) {
 		BackendServer server = new BackendServer("s" + number, 0, "app", "v1", "127.0.0.1:9", "a", 8, false, false, 0);
-		this.control.post((now) -> this.records.broke(REQUEST, server, now));
+		this.control.post((now) -> this.records.connectionBroke(REQUEST, server, now));
 	}
 
 	private Judgement judge() {
-		CompletableFuture<Judgement> answer = new CompletableFuture<>();
-		this.control.post((_) -> answer.complete(this.records.judge(REQUEST)));
-		return answer.join();
+		CompletableFuture<Judgement> response = new CompletableFuture<>();
+		this.control.post((_) -> response.complete(this.records.judge(REQUEST)));
+		return response.join();
 	}
 
 	private void put(Evidence evidence) {
@@ -204,7 +205,7 @@
 		return new RowStore() {
 			@Override
 			public Mono<Outcome> commit(Commit commit) {
-				return CrashRecordsTests.this.rows.commit(commit).flatMap((outcome) -> answer(outcome));
+				return CrashRecordsTests.this.rows.commit(commit).flatMap((outcome) -> response(outcome));
 			}
 
 			@Override
@@ -219,14 +220,14 @@
 		};
 	}
 
-	private <T> Mono<T> answer(T value) {
-		return this.losingAnswers
+	private <T> Mono<T> response(T value) {
+		return this.losingResponses
 				? Mono.error(StoreException.of(Reason.UNREACHABLE, Verdict.mayHaveRun(), "no response"))
 				: Mono.just(value);
 	}
 
 	/** Servers that take no connection. */
-	private static final class DeadServers implements CrashRecords.Hooks {
+	private static final class UnreachableServers implements CrashRecords.Hooks {
 
 		@Override
 		public void ask(BackendServer server, Consumer<Boolean> reply) {
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashingRequestTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashingRequestTests.java
@@ -30,13 +30,13 @@
 	private static final int GATEWAYS = 3;
 
 	/** Time within which gateways receive the updates of the others, in milliseconds. */
-	private static final long CONTACT_MILLIS = 3_000;
+	private static final long PROPAGATION_MILLIS = 3_000;
 
 	/** Servers that a request may crash before it is quarantined. */
-	private static final int LOST = 3;
+	private static final int CRASHES = 3;
 
 	/** Copies that all gateways together may still send after that. */
-	private static final int MORE = 3;
+	private static final int MAX_FURTHER_COPIES = 3;
 
 	/** Further copies of the request that each gateway receives. */
 	private static final int REPEATS = 3;
@@ -64,48 +64,48 @@
 	// its caller are still served.
 	@ParameterizedTest
 	@ValueSource(strings = { "/drafts/", "/sheets/", "/visits/", "/summaries/" })
-	void shouldHoldBackRequestUnderWhichServersCrash(String path) throws IOException {
-		loseServers(path);
-		sleep(CONTACT_MILLIS);
-		assertThat(sendingsOfRepeats(path)).isLessThanOrEqualTo(MORE);
-		Answer answer = ask(1, path, CrashableServers.CRASHING);
-		assertThat(answer.status()).isEqualTo(503);
-		assertThat(answer.says("retry-after")).isTrue();
+	void shouldQuarantineRequestWhenServersCrashUnderIt(String path) throws IOException {
+		crashServers(path);
+		sleep(PROPAGATION_MILLIS);
+		assertThat(copiesSentOfRepeats(path)).isLessThanOrEqualTo(MAX_FURTHER_COPIES);
+		Answer response = ask(1, path, CrashableServers.CRASHING);
+		assertThat(response.status()).isEqualTo(503);
+		assertThat(response.says("retry-after")).isTrue();
 		assertThat(ask(0, path, "other").status()).isEqualTo(200);
 	}
 
 	// The gateways cannot exchange reports; each reaches the store.
 	@Test
-	void shouldHoldBackRequestWhenGatewaysReachOnlyTheStore() throws IOException {
+	void shouldQuarantineRequestWhenGatewaysReachOnlyTheStore() throws IOException {
 		for (int i = 1; i <= GATEWAYS; i++) {
 			this.store.put("gateways", "gateway-" + i, "127.0.0.1:9");
 		}
-		sleep(CONTACT_MILLIS);
-		loseServers("/drafts/");
-		sleep(CONTACT_MILLIS);
-		assertThat(sendingsOfRepeats("/drafts/")).isLessThanOrEqualTo(MORE);
+		sleep(PROPAGATION_MILLIS);
+		crashServers("/drafts/");
+		sleep(PROPAGATION_MILLIS);
+		assertThat(copiesSentOfRepeats("/drafts/")).isLessThanOrEqualTo(MAX_FURTHER_COPIES);
 	}
 
 	// All processes are killed after the crashes, and none can write to the store on
 	// shutdown.
 	@Test
-	void shouldHoldBackRequestOverKillOfAllProcesses() throws IOException {
-		loseServers("/drafts/");
-		sleep(CONTACT_MILLIS);
+	void shouldQuarantineRequestWhenAllProcessesWereKilled() throws IOException {
+		crashServers("/drafts/");
+		sleep(PROPAGATION_MILLIS);
 		this.fleet.forEach((gateway) -> gateway.access.deny());
 		this.fleet.forEach(GatewayHarness::stop);
 		this.fleet = GatewayHarness.startFleet(this.store, GATEWAYS, 8_000);
 		this.fleet.getFirst().declare();
 		ready();
-		assertThat(sendingsOfRepeats("/drafts/")).isLessThanOrEqualTo(MORE);
+		assertThat(copiesSentOfRepeats("/drafts/")).isLessThanOrEqualTo(MAX_FURTHER_COPIES);
 	}
 
 	// After the servers are repaired, an operator releases the request at one gateway by
 	// the digest from the list; all gateways serve it again.
 	@Test
 	void shouldServeRequestAgainWhenOperatorReleasesIt() throws IOException {
-		loseServers("/drafts/");
-		this.servers.mend();
+		crashServers("/drafts/");
+		this.servers.repair();
 		GatewayHarness.await(() -> heldDigest().isPresent());
 		assertThat(operator("DELETE", "/held-requests/" + heldDigest().orElseThrow()).status()).isEqualTo(204);
 		assertThat(operator("DELETE", "/held-requests/no-digest").status()).isEqualTo(400);
@@ -120,10 +120,10 @@
 	// request. The probe finds no server at first and is used up only once a server has
 	// received it.
 	@Test
-	void shouldServeInnocentRequestBehindItsTrial() throws IOException {
-		loseServersAtOnce("/drafts/");
-		this.servers.mend();
-		sleep(CONTACT_MILLIS);
+	void shouldServeRequestWhenItsProbeSucceeded() throws IOException {
+		crashServersSimultaneously("/drafts/");
+		this.servers.repair();
+		sleep(PROPAGATION_MILLIS);
 		assertThat(ask(0, "/drafts/", CrashableServers.CRASHING).status()).isEqualTo(503);
 		ready();
 		for (int i = 0; i < GATEWAYS; i++) {
@@ -134,8 +134,8 @@
 
 	// -- steps
 
-	private void loseServersAtOnce(String path) throws IOException {
-		this.servers.crashTogether();
+	private void crashServersSimultaneously(String path) throws IOException {
+		this.servers.crashSimultaneously();
 		List<RawCaller> callers = new ArrayList<>();
 		for (int i = 0; i < CrashableServers.COUNT; i++) {
 			RawCaller caller = this.fleet.getFirst().caller();
@@ -145,7 +145,7 @@
 			caller.read();
 			caller.close();
 		}
-		this.servers.forgetLost();
+		this.servers.deregisterCrashed();
 	}
 
 	private Answer operator(String method, String path) {
@@ -179,20 +179,20 @@
 		}
 	}
 
-	private void loseServers(String path) throws IOException {
-		for (int i = 0; this.servers.lost() < LOST; i++) {
+	private void crashServers(String path) throws IOException {
+		for (int i = 0; this.servers.crashes() < CRASHES; i++) {
 			ask(i, path, CrashableServers.CRASHING);
 			ready();
 		}
 	}
 
-	private int sendingsOfRepeats(String path) throws IOException {
-		int before = this.servers.sendings();
+	private int copiesSentOfRepeats(String path) throws IOException {
+		int before = this.servers.copiesSent();
 		for (int i = 0; i < REPEATS * GATEWAYS; i++) {
 			ask(i, path, CrashableServers.CRASHING);
 			ready();
 		}
-		return this.servers.sendings() - before;
+		return this.servers.copiesSent() - before;
 	}
 
 	private Answer ask(int number, String path, String body) throws IOException {
@@ -219,16 +219,16 @@
 
 		private final List<ScriptedServer> all = new ArrayList<>();
 
-		private final List<String> living = new ArrayList<>();
+		private final List<String> running = new ArrayList<>();
 
 		/** Crashed servers that stay registered until they are replaced. */
-		private final List<String> lapsing = new ArrayList<>();
+		private final List<String> crashed = new ArrayList<>();
 
 		private volatile boolean crashing = true;
 
-		private volatile boolean together;
+		private volatile boolean simultaneously;
 
-		private int lost;
+		private int crashes;
 
 		CrashableServers(MemoryRowStore store) {
 			this.store = store;
@@ -236,14 +236,14 @@
 
 		/** Starts servers until {@link #COUNT} are running. */
 		synchronized void fill() {
-			forgetLost();
-			while (this.living.size() < COUNT) {
+			deregisterCrashed();
+			while (this.running.size() < COUNT) {
 				String id = "s" + this.all.size();
 				ScriptedServer[] self = new ScriptedServer[1];
 				self[0] = ScriptedServer.start((request, exchange) -> {
 					if (this.crashing && request.body().equals(CRASHING)) {
-						if (this.together) {
-							GatewayHarness.await(() -> sendings() >= COUNT);
+						if (this.simultaneously) {
+							GatewayHarness.await(() -> copiesSent() >= COUNT);
 						}
 						crash(id, self[0]);
 					}
@@ -252,41 +252,41 @@
 					}
 				});
 				this.all.add(self[0]);
-				this.living.add(id);
+				this.running.add(id);
 				this.store.put(GatewayHarness.SERVERS, id, "app " + self[0].address() + " ready");
 			}
 		}
 
 		/** Makes the servers crash only after each of them has received the request. */
-		void crashTogether() {
-			this.together = true;
+		void crashSimultaneously() {
+			this.simultaneously = true;
 		}
 
-		synchronized void forgetLost() {
-			this.lapsing.forEach((id) -> this.store.remove(GatewayHarness.SERVERS, id));
-			this.lapsing.clear();
+		synchronized void deregisterCrashed() {
+			this.crashed.forEach((id) -> this.store.remove(GatewayHarness.SERVERS, id));
+			this.crashed.clear();
 		}
 
-		void mend() {
+		void repair() {
 			this.crashing = false;
 		}
 
 		private synchronized void crash(String id, ScriptedServer server) {
-			this.living.remove(id);
-			this.lapsing.add(id);
-			this.lost++;
+			this.running.remove(id);
+			this.crashed.add(id);
+			this.crashes++;
 			server.close();
 		}
 
 		synchronized List<String> registered() {
-			return List.copyOf(this.living);
+			return List.copyOf(this.running);
 		}
 
-		synchronized int lost() {
-			return this.lost;
+		synchronized int crashes() {
+			return this.crashes;
 		}
 
-		synchronized int sendings() {
+		synchronized int copiesSent() {
 			return (int) this.all.stream()
 				.flatMap((server) -> server.requests().stream())
 				.filter((request) -> request.body().equals(CRASHING))
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultyServerTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultyServerTests.java
@@ -38,7 +38,7 @@
 	// Guards against pooled connections that stay open but carry no data: each of them
 	// cost one call its timeout.
 	@Test
-	void shouldLoseOneCallOnlyWhenConnectionsToServerFallSilent() throws Exception {
+	void shouldFailOneCallOnlyWhenConnectionsToServerCarryNoData() throws Exception {
 		CountDownLatch both = new CountDownLatch(2);
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> {
 			both.countDown();
@@ -82,7 +82,7 @@
 	// response would make the caller book again, with the same effect.
 	@ParameterizedTest
 	@ValueSource(strings = { "reset", "close", "half" })
-	void shouldNeverRepeatBookingThatMayHaveRun(String end) throws IOException {
+	void shouldNotRetryNonRepeatableCallWhenItMayHaveRun(String end) throws IOException {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> {
 			if (end.equals("half")) {
 				exchange.write("HTTP/1.1 200 OK\r\nCall: c1\r\nSignature: s\r\nContent-Length: 100\r\n\r\nhalf");
@@ -94,15 +94,15 @@
 				exchange.socket().close();
 			}
 		})) {
-			Answer answer = this.gateway.ask(RawCaller.post("c1", "/visits/", "x"));
-			assertThat(answer.status()).isEqualTo(502);
+			Answer response = this.gateway.ask(RawCaller.post("c1", "/visits/", "x"));
+			assertThat(response.status()).isEqualTo(502);
 			assertThat(server.requests()).hasSize(1);
 		}
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "/sheets/, reset", "/sheets/, half", "/sheets/, error", "/visits/, refused" })
-	void shouldRepeatOnceWhatMayBeRepeated(String path, String fault) throws IOException {
+	void shouldRetryOnceWhenCallMayBeRepeated(String path, String fault) throws IOException {
 		AtomicInteger runs = new AtomicInteger();
 		ScriptedServer.Script script = (request, exchange) -> {
 			if (runs.getAndIncrement() > 0) {
@@ -122,31 +122,31 @@
 		try (ScriptedServer _ = this.gateway.serving(script); ScriptedServer second = ScriptedServer.start(script)) {
 			this.gateway.register("s2", second);
 			this.gateway.ready();
-			Answer answer = this.gateway.ask(RawCaller.post("c1", path, "x"));
-			assertThat(answer.status()).isEqualTo(200);
-			assertThat(answer.body()).isEqualTo("good");
+			Answer response = this.gateway.ask(RawCaller.post("c1", path, "x"));
+			assertThat(response.status()).isEqualTo(200);
+			assertThat(response.body()).isEqualTo("good");
 			assertThat(runs.get()).isEqualTo(2);
 		}
 	}
 
 	@Test
-	void shouldSayNotRunOnlyWhenNoServerRanIt() throws IOException {
+	void shouldRespondNotRunWhenNoServerRanCall() throws IOException {
 		try (ScriptedServer server = this.gateway
 			.serving((request, exchange) -> exchange.status(request, 503, "Not-Run: 1\r\n"))) {
-			Answer answer = this.gateway.ask(RawCaller.post("c1", "/visits/", "x"));
-			assertThat(answer.status()).isEqualTo(503);
-			assertThat(answer.says("retry-after")).isTrue();
+			Answer response = this.gateway.ask(RawCaller.post("c1", "/visits/", "x"));
+			assertThat(response.status()).isEqualTo(503);
+			assertThat(response.says("retry-after")).isTrue();
 			assertThat(server.requests()).hasSize(1);
 		}
 	}
 
 	@Test
-	void shouldPassOnServersOwnFailureWhenNothingElseIsLeft() throws IOException {
+	void shouldForwardServerErrorWhenNoRetryIsPossible() throws IOException {
 		try (ScriptedServer _ = this.gateway
 			.serving((request, exchange) -> exchange.status(request, 500, "Signature: s\r\n"))) {
-			Answer answer = this.gateway.ask(RawCaller.post("c1", "/visits/", "x"));
-			assertThat(answer.status()).isEqualTo(500);
-			assertThat(answer.says("signature")).isTrue();
+			Answer response = this.gateway.ask(RawCaller.post("c1", "/visits/", "x"));
+			assertThat(response.status()).isEqualTo(500);
+			assertThat(response.says("signature")).isTrue();
 		}
 	}
 
@@ -154,7 +154,7 @@
 	// for the retry. If the gateway responded "not run", the caller would wrongly assume
 	// that the call had no effect.
 	@Test
-	void shouldNotSayNotRunWhenCallRanAndNoOtherServerIsLeft() throws IOException {
+	void shouldNotRespondNotRunWhenCallRanAndNoOtherServerIsLeft() throws IOException {
 		try (ScriptedServer server = this.gateway
 			.serving((request, exchange) -> exchange.status(request, 500, "Signature: s\r\n"))) {
 			assertThat(this.gateway.ask(RawCaller.post("c1", "/sheets/", "x")).status()).isEqualTo(500);
@@ -163,7 +163,7 @@
 	}
 
 	@Test
-	void shouldTryNextServerWhenOneCannotBeReached() throws IOException {
+	void shouldTryNextServerWhenOneIsUnreachable() throws IOException {
 		try (ScriptedServer dead = ScriptedServer.start((_, _) -> {
 		}); ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "good"))) {
 			String address = dead.address();
@@ -180,7 +180,7 @@
 	// missing responses were not counted, every second call would wait there until its
 	// timeout.
 	@Test
-	void shouldAvoidServerThatLetsCallsWait() throws IOException {
+	void shouldAvoidServerWhenItDoesNotRespond() throws IOException {
 		try (ScriptedServer _ = this.gateway.serving((_, exchange) -> exchange.hold());
 				ScriptedServer good = ScriptedServer.start((request, exchange) -> exchange.ok(request, "good"))) {
 			this.gateway.register("s2", good);
@@ -198,21 +198,21 @@
 	// A faulty server sends an extra response after a valid one. Treated as the response
 	// to the next call, it would show one household the booking of another.
 	@Test
-	void shouldNeverTakeExtraAnswerForTheNextCall() throws Exception {
+	void shouldDiscardExtraResponseWhenNextCallIsSent() throws Exception {
 		try (ScriptedServer _ = this.gateway.serving((request, exchange) -> {
 			exchange.ok(request, request.call());
 			exchange.ok(request, "extra");
 		}); RawCaller caller = this.gateway.caller()) {
 			for (int i = 0; i < 10; i++) {
-				Answer answer = caller.send(RawCaller.get("c" + i, "/sheets/")).read();
-				assertThat(answer.body()).isEqualTo("c" + i);
+				Answer response = caller.send(RawCaller.get("c" + i, "/sheets/")).read();
+				assertThat(response.body()).isEqualTo("c" + i);
 			}
 		}
 	}
 
 	// The extra response arrives late, while the next one is awaited.
 	@Test
-	void shouldSkipAnswerThatNamesAnotherCall() throws IOException {
+	void shouldSkipResponseWhenItNamesAnotherCall() throws IOException {
 		try (ScriptedServer _ = this.gateway.serving((request, exchange) -> {
 			exchange.write("HTTP/1.1 200 OK\r\nCall: other\r\nSignature: s\r\nContent-Length: 5\r\n\r\nwrong");
 			exchange.ok(request, "right");
@@ -224,11 +224,11 @@
 	@ParameterizedTest
 	@ValueSource(strings = { "this is no answer\r\n\r\n",
 			"HTTP/1.1 200 OK\r\nCall: c1\r\nContent-Length: 8\r\n\r\nunsigned" })
-	void shouldNotPassOnWhatIsNoGoodAnswer(String bytes) throws IOException {
+	void shouldNotForwardResponseWhenItIsInvalid(String bytes) throws IOException {
 		try (ScriptedServer _ = this.gateway.serving((_, exchange) -> exchange.write(bytes))) {
-			Answer answer = this.gateway.ask(RawCaller.post("c1", "/visits/", "x"));
-			assertThat(answer.status()).isEqualTo(502);
-			assertThat(answer.body()).doesNotContain("unsigned");
+			Answer response = this.gateway.ask(RawCaller.post("c1", "/visits/", "x"));
+			assertThat(response.status()).isEqualTo(502);
+			assertThat(response.body()).doesNotContain("unsigned");
 		}
 	}
 
@@ -236,7 +236,7 @@
 	// may be missing although the response looks complete.
 	@ParameterizedTest
 	@CsvSource({ "close, 200", "reset, 502" })
-	void shouldTakeAnswerWithoutLengthOnlyFromCleanEnd(String end, int status) throws IOException {
+	void shouldAcceptResponseWithoutLengthOnlyWhenConnectionClosesCleanly(String end, int status) throws IOException {
 		try (ScriptedServer _ = this.gateway.serving((request, exchange) -> {
 			exchange.write("HTTP/1.1 200 OK\r\nCall: " + request.call() + "\r\nSignature: s\r\n\r\nall of it");
 			if (end.equals("reset")) {
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PassingThroughTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PassingThroughTests.java
@@ -37,12 +37,12 @@
 	// -- successful calls
 
 	@Test
-	void shouldPassOnMethodPathBodyAndAnswerUnchanged() throws IOException {
+	void shouldForwardMethodPathBodyAndResponseUnchanged() throws IOException {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "booked"))) {
-			Answer answer = this.gateway.ask(RawCaller.post("c1", "/visits/7?when=now", "visit"));
-			assertThat(answer.status()).isEqualTo(200);
-			assertThat(answer.body()).isEqualTo("booked");
-			assertThat(answer.says("signature")).isTrue();
+			Answer response = this.gateway.ask(RawCaller.post("c1", "/visits/7?when=now", "visit"));
+			assertThat(response.status()).isEqualTo(200);
+			assertThat(response.body()).isEqualTo("booked");
+			assertThat(response.says("signature")).isTrue();
 			Request sent = server.requests().getFirst();
 			assertThat(sent.line()).isEqualTo("POST /visits/7?when=now HTTP/1.1");
 			assertThat(sent.body()).isEqualTo("visit");
@@ -56,7 +56,7 @@
 	// Guards against sending a request to a server although its caller disconnected while
 	// the request was unread at a busy gateway.
 	@Test
-	void shouldNotSendRequestWhoseCallerLeftBeforeItWasRead() throws Exception {
+	void shouldNotSendRequestWhenCallerDisconnectedBeforeItWasRead() throws Exception {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "x"));
 				RawCaller caller = this.gateway.caller()) {
 			assertThat(caller.send(RawCaller.get("c1", "/sheets/")).read().status()).isEqualTo(200);
@@ -73,7 +73,7 @@
 	}
 
 	@Test
-	void shouldNeverHandOnMoreTimeThanIsLeft() throws IOException {
+	void shouldNotForwardMoreTimeThanRemains() throws IOException {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "x"))) {
 			this.gateway.ask(RawCaller.get("c1", "/sheets/").replace("Key:", "Remaining: 700\r\nKey:"));
 			assertThat(Long.parseLong(server.requests().getFirst().header("remaining"))).isBetween(1L, 700L);
@@ -81,22 +81,22 @@
 	}
 
 	@Test
-	void shouldTakeLongBodyInChunks() throws IOException {
+	void shouldAcceptLongChunkedBody() throws IOException {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "x"))) {
 			String chunk = "x".repeat(10_000);
 			StringBuilder body = new StringBuilder();
 			for (int i = 0; i < 10; i++) {
 				body.append(Integer.toHexString(chunk.length())).append("\r\n").append(chunk).append("\r\n");
 			}
-			Answer answer = this.gateway.ask("POST /visits/ HTTP/1.1\r\nHost: a.example\r\nCall: c1\r\nKey: key-1\r\n"
+			Answer response = this.gateway.ask("POST /visits/ HTTP/1.1\r\nHost: a.example\r\nCall: c1\r\nKey: key-1\r\n"
 					+ "Transfer-Encoding: chunked\r\n\r\n" + body + "0\r\n\r\n");
-			assertThat(answer.status()).isEqualTo(200);
+			assertThat(response.status()).isEqualTo(200);
 			assertThat(server.requests().getFirst().body()).isEqualTo(chunk.repeat(10));
 		}
 	}
 
 	@Test
-	void shouldUseConnectionsAgain() throws IOException {
+	void shouldReuseConnections() throws IOException {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "x"));
 				RawCaller caller = this.gateway.caller()) {
 			for (int i = 0; i < 5; i++) {
@@ -107,7 +107,7 @@
 	}
 
 	@Test
-	void shouldAnswerRequestsSentAheadInOrder() throws IOException {
+	void shouldRespondInOrderWhenRequestsArePipelined() throws IOException {
 		try (ScriptedServer _ = this.gateway.serving((request, exchange) -> exchange.ok(request, request.call()));
 				RawCaller caller = this.gateway.caller()) {
 			caller.send(RawCaller.get("c1", "/sheets/") + RawCaller.post("c2", "/visits/", "x")
@@ -123,10 +123,10 @@
 	// The first calls arrive before the configuration is read. A 404 would say that their
 	// route does not exist, and the callers would not retry.
 	@Test
-	void shouldTellToComeBackWhileNoConfigurationIsKnown() throws IOException {
-		Answer answer = this.gateway.ask(RawCaller.get("c1", "/sheets/"));
-		assertThat(answer.status()).isEqualTo(503);
-		assertThat(answer.says("retry-after")).isTrue();
+	void shouldRespondRetryAfterWhenNoConfigurationIsLoaded() throws IOException {
+		Answer response = this.gateway.ask(RawCaller.get("c1", "/sheets/"));
+		assertThat(response.status()).isEqualTo(503);
+		assertThat(response.says("retry-after")).isTrue();
 		assertThat(this.gateway.readiness()).isEqualTo(503);
 	}
 
@@ -134,7 +134,7 @@
 	// its arrival. If the server were given the full timeout, it would go on working
 	// after the caller left.
 	@Test
-	void shouldCountTimeThatRequestWaitedBehindAnother() throws IOException {
+	void shouldCountQueueingTimeWhenRequestsArePipelined() throws IOException {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> {
 			pause(300);
 			exchange.ok(request, "x");
@@ -158,14 +158,14 @@
 
 	@ParameterizedTest
 	@CsvSource({ "/nowhere/, key-1, 404", "/sheets/, key-2, 401", "/sheets/, key-1, 503" })
-	void shouldRefuseWhatIsNotDeclared(String path, String key, int status) throws IOException {
+	void shouldRefuseCallWhenRouteKeyOrServerIsMissing(String path, String key, int status) throws IOException {
 		this.gateway.declare().ready();
-		Answer answer = this.gateway.ask(RawCaller.get("c1", path).replace("key-1", key));
-		assertThat(answer.status()).isEqualTo(status);
+		Answer response = this.gateway.ask(RawCaller.get("c1", path).replace("key-1", key));
+		assertThat(response.status()).isEqualTo(status);
 	}
 
 	@Test
-	void shouldRefuseBeyondQuotaWithTheTimeToComeBack() throws IOException {
+	void shouldRefuseWithRetryAfterWhenQuotaIsExceeded() throws IOException {
 		this.gateway.declare(GatewayHarness.configuration(1, CallerLimits.INITIAL, GatewayHarness.organisation(0.001)));
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			this.gateway.register("s1", server).ready();
@@ -186,7 +186,7 @@
 			"Content-Length: 5\r\nContent-Length: 6\r\n", "Transfer-Encoding: gzip, chunked\r\n",
 			"Transfer-Encoding : chunked\r\n", "Transfer-Encoding: xchunked\r\n", "Content-Length: +5\r\n",
 			"Content-Length: 5\n" })
-	void shouldRefuseRequestThatCanBeFramedInTwoWays(String framing) throws IOException {
+	void shouldRefuseRequestWhenFramingIsAmbiguous(String framing) throws IOException {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "x"));
 				RawCaller caller = this.gateway.caller()) {
 			caller.send("POST /visits/ HTTP/1.1\r\nHost: a.example\r\nCall: c1\r\nKey: key-1\r\n" + framing
@@ -198,14 +198,14 @@
 	}
 
 	@Test
-	void shouldRefuseTwoHosts() throws IOException {
+	void shouldRefuseRequestWhenItHasTwoHosts() throws IOException {
 		this.gateway.declare().ready();
 		assertThat(this.gateway.ask("GET /sheets/ HTTP/1.1\r\nHost: a.example\r\nHost: b.example\r\n\r\n").status())
 			.isEqualTo(400);
 	}
 
 	@Test
-	void shouldRefuseLongHeadersAndLongBodies() throws IOException {
+	void shouldRefuseRequestWhenHeadersOrBodyAreTooLong() throws IOException {
 		this.gateway
 			.declare(GatewayHarness.configuration(1, new CallerLimits(2_000, 1_000, 3_000, 15_000),
 					GatewayHarness.organisation(0)))
@@ -217,7 +217,7 @@
 	}
 
 	@Test
-	void shouldCloseOnRequestThatStaysHalf() throws IOException {
+	void shouldCloseConnectionWhenRequestStaysIncomplete() throws IOException {
 		this.gateway
 			.declare(GatewayHarness.configuration(1, new CallerLimits(2_000, 1_000, 300, 15_000),
 					GatewayHarness.organisation(0)))
@@ -231,7 +231,7 @@
 	// -- streams
 
 	@Test
-	void shouldPassOnEventsAsTheyCome() throws IOException {
+	void shouldForwardEventsAsTheyArrive() throws IOException {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> {
 			exchange.write(EVENTS + "Call: " + request.call() + "\r\n\r\n");
 			exchange.write(chunk("id: 1\ndata: a\n\n"));
@@ -239,14 +239,14 @@
 		}); RawCaller caller = this.gateway.caller()) {
 			caller.send(RawCaller.post("c1", "/drafts/", "x"));
 			GatewayHarness.await(() -> !server.requests().isEmpty());
-			assertThat(caller.readSome()).contains("id: 1");
+			assertThat(caller.readEvent()).contains("id: 1");
 		}
 	}
 
 	// A server fails in the middle of an event and the response is resumed at another
 	// server. The caller must receive each event exactly once and whole.
 	@Test
-	void shouldGoOnAtAnotherServerWithinTheSameAnswer() throws IOException {
+	void shouldResumeStreamAtAnotherServerWhenServerFails() throws IOException {
 		AtomicInteger runs = new AtomicInteger();
 		ScriptedServer.Script script = (request, exchange) -> {
 			exchange.write(EVENTS + "Call: " + request.call() + "\r\n\r\n");
@@ -262,9 +262,9 @@
 				ScriptedServer second = ScriptedServer.start(script)) {
 			this.gateway.register("s2", second);
 			GatewayHarness.await(() -> this.gateway.knows("s2"));
-			Answer answer = this.gateway.ask(RawCaller.post("c1", "/summaries/", "x"));
-			assertThat(answer.whole()).isTrue();
-			assertThat(answer.body()).isEqualTo("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
+			Answer response = this.gateway.ask(RawCaller.post("c1", "/summaries/", "x"));
+			assertThat(response.complete()).isTrue();
+			assertThat(response.body()).isEqualTo("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
 			assertThat(Stream.of(first, second).flatMap((server) -> server.requests().stream()))
 				.extracting((sent) -> sent.header("resume-after"))
 				.containsExactlyInAnyOrder("", "1");
@@ -274,13 +274,13 @@
 	// A stream that must not be resumed breaks. The caller must not mistake the partial
 	// response for a complete one.
 	@Test
-	void shouldNotLetBrokenStreamLookComplete() throws IOException {
+	void shouldEndResponseIncompleteWhenStreamBreaks() throws IOException {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> {
 			exchange.write(EVENTS + "Call: " + request.call() + "\r\n\r\n" + chunk("id: 1\ndata: a\n\n"));
 			exchange.reset();
 		})) {
-			Answer answer = this.gateway.ask(RawCaller.post("c1", "/drafts/", "x"));
-			assertThat(answer.whole()).isFalse();
+			Answer response = this.gateway.ask(RawCaller.post("c1", "/drafts/", "x"));
+			assertThat(response.complete()).isFalse();
 			assertThat(server.requests()).hasSize(1);
 		}
 	}
@@ -291,21 +291,21 @@
 	// a slot that other calls wait for.
 	@ParameterizedTest
 	@ValueSource(strings = { "/sheets/", "/visits/", "/drafts/" })
-	void shouldEndCallAtServerWhenCallerLeaves(String path) throws Exception {
+	void shouldEndCallAtServerWhenCallerDisconnects(String path) throws Exception {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.hold())) {
 			try (RawCaller caller = this.gateway.caller()) {
 				caller.send(RawCaller.post("c1", path, "x"));
 				GatewayHarness.await(() -> !server.requests().isEmpty());
 			}
-			assertThat(server.awaitLeft()).isTrue();
+			assertThat(server.awaitDisconnect()).isTrue();
 		}
 	}
 
 	@Test
-	void shouldAnswerAtTheRoutesTimeoutAndFreeTheServer() throws Exception {
+	void shouldRespondAndFreeServerWhenRouteTimesOut() throws Exception {
 		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.hold())) {
 			assertThat(this.gateway.ask(RawCaller.get("c1", "/short/")).status()).isEqualTo(504);
-			assertThat(server.awaitLeft()).isTrue();
+			assertThat(server.awaitDisconnect()).isTrue();
 		}
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PauseWatchTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PauseWatchTests.java
@@ -18,12 +18,12 @@
 	@ParameterizedTest
 	@CsvSource({ "50, 50, Running", "3000, 3000, Paused", "50, 3050, Suspended", "3000, 6000, Suspended",
 			"50, -1950, Running", "650, 1200, Suspended", "50, 400, Running" })
-	void shouldTellSuspensionFromPause(long monotonicMillis, long dayMillis, String finding) {
+	void shouldDistinguishSuspensionFromPause(long monotonicMillis, long wallClockMillis, String finding) {
 		for (long start : new long[] { 0, -5, Long.MAX_VALUE - 7 }) {
 			PauseWatch watch = new PauseWatch(start, EPOCH);
 			long now = start + TimeUnit.MILLISECONDS.toNanos(monotonicMillis);
-			assertThat(watch.look(now, EPOCH + dayMillis).getClass().getSimpleName()).isEqualTo(finding);
-			assertThat(watch.look(now, EPOCH + dayMillis)).isEqualTo(new PauseWatch.Finding.Running());
+			assertThat(watch.look(now, EPOCH + wallClockMillis).getClass().getSimpleName()).isEqualTo(finding);
+			assertThat(watch.look(now, EPOCH + wallClockMillis)).isEqualTo(new PauseWatch.Finding.Running());
 		}
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RawCaller.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RawCaller.java
@@ -101,7 +101,7 @@
 	 * Reads until a complete event has arrived.
 	 * @return the text read so far
 	 */
-	String readSome() throws IOException {
+	String readEvent() throws IOException {
 		StringBuilder bytes = new StringBuilder();
 		while (bytes.indexOf("\n\n") < 0) {
 			int next = this.socket.getInputStream().read();
@@ -140,9 +140,9 @@
 	 *
 	 * @param head the status line and the headers
 	 * @param body the body
-	 * @param whole whether the response is complete
+	 * @param complete whether the response is complete
 	 */
-	record Answer(String head, String body, boolean whole) {
+	record Answer(String head, String body, boolean complete) {
 
 		int status() {
 			return this.head.isEmpty() ? 0 : Integer.parseInt(this.head.split(" ")[1]);
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RolloutDutyTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RolloutDutyTests.java
@@ -17,62 +17,62 @@
 	private static final long AWAIT_NANOS = 20_000_000_000L;
 
 	@Test
-	void shouldMoveCallsToGoodVersionAndSaySo() throws IOException {
+	void shouldMoveCallsToCandidateAndPublishPhaseWhenItSucceeds() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
-				ScriptedServer old = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"));
-				ScriptedServer fresh = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
-			begin(gateway, old, fresh);
+				ScriptedServer baseline = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"));
+				ScriptedServer candidate = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
+			begin(gateway, baseline, candidate);
 			gateway.store.put("declared", "rollout/app", "v2 4000");
 			callUntil(gateway, "v2 SUCCEEDED");
-			int before = old.requests().size();
+			int before = baseline.requests().size();
 			for (int i = 0; i < 20; i++) {
 				assertThat(gateway.ask(RawCaller.get("c" + i, "/sheets/")).status()).isEqualTo(200);
 			}
-			assertThat(old.requests()).hasSize(before);
+			assertThat(baseline.requests()).hasSize(before);
 		}
 	}
 
 	// Without a rollback a failing version would keep failing its share of the calls, and
 	// in the end all of them.
 	@Test
-	void shouldTakeVersionBackThatFailsCalls() throws IOException {
+	void shouldRollBackCandidateWhenItFailsCalls() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
-				ScriptedServer old = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"));
-				ScriptedServer fresh = ScriptedServer
+				ScriptedServer baseline = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"));
+				ScriptedServer candidate = ScriptedServer
 					.start((request, exchange) -> exchange.status(request, 500, "Signature: s\r\n"))) {
-			begin(gateway, old, fresh);
+			begin(gateway, baseline, candidate);
 			gateway.store.put("declared", "rollout/app", "v2 60000");
 			callUntil(gateway, "v2 ROLLED_BACK");
-			int before = fresh.requests().size();
+			int before = candidate.requests().size();
 			for (int i = 0; i < 20; i++) {
 				assertThat(gateway.ask(RawCaller.get("c" + i, "/sheets/")).status()).isEqualTo(200);
 			}
-			assertThat(fresh.requests()).hasSize(before);
+			assertThat(candidate.requests()).hasSize(before);
 		}
 	}
 
 	// A version without an order in force is not evaluated, so its servers must get no
 	// calls once the order is withdrawn.
 	@Test
-	void shouldSendNothingToVersionWhoseOrderWasWithdrawn() throws IOException {
+	void shouldSendNoCallsToCandidateWhenOrderWasWithdrawn() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
-				ScriptedServer old = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"));
-				ScriptedServer fresh = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
-			begin(gateway, old, fresh);
+				ScriptedServer baseline = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"));
+				ScriptedServer candidate = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
+			begin(gateway, baseline, candidate);
 			gateway.store.put("declared", "rollout/app", "v2 60000");
 			callUntil(gateway, "v2 TRIAL");
 			gateway.store.remove("declared", "rollout/app");
 			callUntil(gateway, "v2 ROLLED_BACK");
-			int before = fresh.requests().size();
+			int before = candidate.requests().size();
 			for (int i = 0; i < 20; i++) {
 				gateway.ask(RawCaller.get("c" + i, "/sheets/"));
 			}
-			assertThat(fresh.requests()).hasSize(before);
+			assertThat(candidate.requests()).hasSize(before);
 		}
 	}
 
 	@Test
-	void shouldPassOverOrderThatCannotBeRead() throws IOException {
+	void shouldSkipOrderWhenItCannotBeParsed() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
@@ -84,9 +84,10 @@
 		}
 	}
 
-	private static void begin(GatewayHarness gateway, ScriptedServer old, ScriptedServer fresh) throws IOException {
-		gateway.declare().register("s1", old);
-		gateway.store.put(GatewayHarness.SERVERS, "s2", "app " + fresh.address() + " ready 1 v2");
+	private static void begin(GatewayHarness gateway, ScriptedServer baseline, ScriptedServer candidate)
+			throws IOException {
+		gateway.declare().register("s1", baseline);
+		gateway.store.put(GatewayHarness.SERVERS, "s2", "app " + candidate.address() + " ready 1 v2");
 		gateway.ready();
 		GatewayHarness.await(() -> gateway.knows("s2"));
 	}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ScriptedServer.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ScriptedServer.java
@@ -29,7 +29,7 @@
 
 	private final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
-	private final CountDownLatch left = new CountDownLatch(1);
+	private final CountDownLatch disconnected = new CountDownLatch(1);
 
 	private Thread accepting;
 
@@ -70,8 +70,8 @@
 	 * Waits until the peer closes a connection.
 	 * @return whether it did within five seconds
 	 */
-	boolean awaitLeft() throws InterruptedException {
-		return this.left.await(5, TimeUnit.SECONDS);
+	boolean awaitDisconnect() throws InterruptedException {
+		return this.disconnected.await(5, TimeUnit.SECONDS);
 	}
 
 	@Override
@@ -125,7 +125,7 @@
 			// The peer closed the connection, as some tests expect.
 		}
 		finally {
-			this.left.countDown();
+			this.disconnected.countDown();
 		}
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/StartTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/StartTests.java
@@ -17,7 +17,7 @@
 	// Guards against an internal error in response to readiness checks that arrive while
 	// the gateway is being constructed.
 	@RepeatedTest(5)
-	void shouldNotFailQuestionsForReadinessWhileItStarts() {
+	void shouldNotFailReadinessChecksWhileStarting() {
 		GatewaySettings settings = GatewayHarness.settings();
 		PlainCodecs codecs = new PlainCodecs();
 		AtomicBoolean started = new AtomicBoolean();
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/StopTimesTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/StopTimesTests.java
@@ -19,15 +19,15 @@
 	@ParameterizedTest
 	@CsvSource({ "0, 15000, true", "2999, 15000, true", "3000, 15000, false", "3014, 15000, false", "3000, 4400, true",
 			"3014, 4400, false", "7300, 100, true", "7301, 100, false" })
-	void shouldTakeOnlyCallsThatEndBeforeTheProcessOnceItIsClosed(long sinceSignalMillis, long timeoutMillis,
-			boolean taken) {
+	void shouldAcceptOnlyCallsThatEndBeforeProcessWhenOpenTimeIsOver(long sinceSignalMillis, long timeoutMillis,
+			boolean accepted) {
 		StopTimes times = StopTimes.of(SIGNAL, 3_000, 7_600);
 		assertThat(times.accepts(timeoutMillis, SIGNAL + TimeUnit.MILLISECONDS.toNanos(sinceSignalMillis)))
-			.isEqualTo(taken);
+			.isEqualTo(accepted);
 	}
 
 	@Test
-	void shouldTakeNothingOnceTheLastCountsAreWritten() {
+	void shouldAcceptNoCallWhenLastCountsAreWritten() {
 		StopTimes times = StopTimes.of(SIGNAL, 3_000, 7_600).endingAt(SIGNAL + 5);
 		assertThat(times.accepts(0, SIGNAL + 6)).isFalse();
 	}
