--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/AdminServer.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/AdminServer.java
@@ -42,7 +42,7 @@
 	}
 
 	static AdminServer open(LoopResources loops, GatewaySettings settings, BooleanSupplier ready,
-			MetricRegistry registry, Map<String, FollowedTable> tables, HeldRequests held) {
+			MetricRegistry registry, Map<String, FollowedTable> tables, HeldRequests quarantine) {
 		DisposableServer readiness = HttpServer.create()
 			.runOn(loops, false)
 			.bindAddress(settings::readiness)
@@ -62,9 +62,9 @@
 							.orElseGet(() -> response.status(204).send()))
 				.get(HELD_REQUESTS_PATH,
 						(_, response) -> response.header(HttpHeaderNames.CONTENT_TYPE, "application/json")
-							.sendString(held.list().map(AdminServer::json)))
+							.sendString(quarantine.list().map(AdminServer::json)))
 				.delete(HELD_REQUESTS_PATH + "/{digest}",
-						(request, response) -> release(held, request.param("digest"))
+						(request, response) -> release(quarantine, request.param("digest"))
 							.flatMap((status) -> response.status(status).send())))
 			.bindNow();
 		return new AdminServer(readiness, metrics);
@@ -86,9 +86,9 @@
 				: Optional.empty();
 	}
 
-	private static Mono<Integer> release(HeldRequests held, String digest) {
+	private static Mono<Integer> release(HeldRequests quarantine, String digest) {
 		try {
-			return held.release(RequestDigest.parse(digest)).map((known) -> known ? 204 : 404);
+			return quarantine.release(RequestDigest.parse(digest)).map((known) -> known ? 204 : 404);
 		}
 		catch (IllegalArgumentException ex) {
 			return Mono.just(400);
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallProgress.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallProgress.java
@@ -58,8 +58,8 @@
 
 	private int unsentAttempts;
 
-	private CallProgress(SharedParts shared) {
-		this.prefix = shared;
+	private CallProgress(SharedParts prefix) {
+		this.prefix = prefix;
 	}
 
 	// -- factories
@@ -73,8 +73,8 @@
 		return of(call.terms().prompt().map(Prompt::shared).orElse(SharedParts.none()));
 	}
 
-	static CallProgress of(SharedParts shared) {
-		return new CallProgress(shared);
+	static CallProgress of(SharedParts prefix) {
+		return new CallProgress(prefix);
 	}
 
 	// -- changes
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallQuotas.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallQuotas.java
@@ -35,11 +35,11 @@
 	private final LongConsumer applyPendingUpdates;
 
 	CallQuotas(QuotaTable quotas, Fleet fleet, Supplier<Optional<TrafficConfiguration>> configuration,
-			LongConsumer catchUp) {
+			LongConsumer applyPendingUpdates) {
 		this.quotas = quotas;
 		this.fleet = fleet;
 		this.configuration = configuration;
-		this.applyPendingUpdates = catchUp;
+		this.applyPendingUpdates = applyPendingUpdates;
 	}
 
 	/**
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRecords.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRecords.java
@@ -54,10 +54,10 @@
 	/** Whether there are updates to send before the next report is due. */
 	private boolean urgent;
 
-	CrashRecords(RowStore rows, BackendTable servers, ControlLoop control, String process, Hooks hooks) {
+	CrashRecords(RowStore rows, BackendTable servers, ControlLoop control, String process, Hooks callbacks) {
 		this.servers = servers;
 		this.control = control;
-		this.callbacks = hooks;
+		this.callbacks = callbacks;
 		this.probes = new QuarantineProbes(rows, this.table, control, process, this::review);
 		this.store = new CrashStore(rows, this.table, this.probes, control, process,
 				new CrashStore.News((evidence, nowNanos) -> evidenceAdded(evidence, "store", nowNanos), this::review));
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayControl.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayControl.java
@@ -118,11 +118,11 @@
 
 	GatewayControl(ControlLoop loop, BackendTable servers, GatewaySettings settings, QuotaTable quotas, Fleet fleet,
 			UsageLedger usage, CrashGuard crashGuard, Rollouts rollouts, Freshness serversFreshness,
-			LongConsumer catchUp) {
+			LongConsumer applyPendingUpdates) {
 		this.loop = loop;
 		this.servers = servers;
 		this.dispatcher = new Dispatcher(servers, settings.zone());
-		this.quotas = new CallQuotas(quotas, fleet, this::configuration, catchUp);
+		this.quotas = new CallQuotas(quotas, fleet, this::configuration, applyPendingUpdates);
 		this.usage = usage;
 		this.crashGuard = crashGuard;
 		this.rollouts = rollouts;
@@ -228,7 +228,7 @@
 	// -- decisions, on the control thread
 
 	private void admit(Call call, long nowNanos) {
-		this.crashGuard.admit(call, (at) -> take(call, at), nowNanos);
+		this.crashGuard.admit(call, (admittedNanos) -> take(call, admittedNanos), nowNanos);
 	}
 
 	private void take(Call call, long nowNanos) {
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/QuarantineProbes.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/QuarantineProbes.java
@@ -49,12 +49,12 @@
 	private final Set<RequestDigest> ownClaims = new HashSet<>();
 
 	QuarantineProbes(RowStore store, CrashTable table, ControlLoop control, String process,
-			Consumer<RequestDigest> changed) {
+			Consumer<RequestDigest> onChange) {
 		this.store = store;
 		this.table = table;
 		this.control = control;
 		this.process = process;
-		this.onChange = changed;
+		this.onChange = onChange;
 	}
 
 	/**
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RolloutDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RolloutDuty.java
@@ -177,9 +177,9 @@
 
 	// A failed write may have taken effect or may do so later, so the row is read again
 	// first.
-	private void failed(CachedRows cached, String row, String call, Throwable failure) {
+	private void failed(CachedRows cached, String row, String operation, Throwable failure) {
 		this.control.accept(() -> {
-			RowLog.failed(row, call, failure);
+			RowLog.failed(row, operation, failure);
 			cached.loaded = false;
 			cached.operatorValue = Optional.empty();
 			cached.requestInProgress = false;
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultyServerTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultyServerTests.java
@@ -39,10 +39,10 @@
 	// cost one call its timeout.
 	@Test
 	void shouldFailOneCallOnlyWhenConnectionsToServerCarryNoData() throws Exception {
-		CountDownLatch both = new CountDownLatch(2);
+		CountDownLatch bothReceived = new CountDownLatch(2);
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> {
-			both.countDown();
-			awaitZero(both);
+			bothReceived.countDown();
+			awaitZero(bothReceived);
 			exchange.ok(request, "x");
 		}); Relay relay = Relay.start(server.address())) {
 			this.gateway.declare();
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PassingThroughTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ForwardingTests.java
@@ -18,7 +18,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class PassingThroughTests {
+class ForwardingTests {
 
 	private static final String EVENTS = "HTTP/1.1 200 OK\r\nSignature: s\r\nTransfer-Encoding: chunked\r\n";
 
