--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallProgress.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallProgress.java
@@ -141,8 +141,8 @@
 	 * Returns the ratio of measured to expected time when the first token or the response
 	 * arrives.
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
-	 * @return the ratio, each time plus one millisecond; with no expectation the expected
-	 * time is 0; empty if the call has no server
+	 * @return the ratio, with one millisecond added to both times and 0 expected where
+	 * there is no expectation; empty if the call has no server
 	 */
 	OptionalDouble latencyRatio(long nowNanos) {
 		long millis = TimeUnit.NANOSECONDS.toMillis(nowNanos - this.sentNanos);
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashStore.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashStore.java
@@ -260,7 +260,7 @@
 	 * Callbacks for changes of rows.
 	 *
 	 * @param crash receives the evidence of a new or changed crash and the current time
-	 * @param removed receives the request of a deleted row
+	 * @param removed receives the request of a deleted row or expired crash
 	 */
 	record News(BiConsumer<Evidence, Long> crash, Consumer<RequestDigest> removed) {
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayControl.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayControl.java
@@ -113,7 +113,10 @@
 
 	private int gateways;
 
-	/** Total prompt tokens that the calls sent so far were expected to need prefilled. */
+	/**
+	 * Prompt tokens that the calls sent so far were expected to require servers to
+	 * prefill.
+	 */
 	private long readingTokens;
 
 	GatewayControl(ControlLoop loop, BackendTable servers, GatewaySettings settings, QuotaTable quotas, Fleet fleet,
