--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/AdminServer.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/AdminServer.java
@@ -20,14 +20,17 @@
 import org.rosemaryfront.crashes.RequestDigest;
 import org.rosemaryfront.gateway.proto.TableRows;
 
-/** Answers whether callers may come, and serves the metrics. */
+/**
+ * Serves readiness checks on one port, and metrics, table contents and the quarantined
+ * requests on another.
+ */
 final class AdminServer implements AutoCloseable {
 
 	private static final String METRICS_PATH = "/metrics";
 
 	private static final String TABLES_PATH = "/tables";
 
-	private static final String HELD_PATH = "/held-requests";
+	private static final String HELD_REQUESTS_PATH = "/held-requests";
 
 	private final DisposableServer readiness;
 
@@ -39,7 +42,7 @@
 	}
 
 	static AdminServer open(LoopResources loops, GatewaySettings settings, BooleanSupplier ready,
-			MetricRegistry registry, Map<String, FollowedTable> tables, HeldRequests held) {
+			MetricRegistry registry, Map<String, FollowedTable> tables, HeldRequests quarantine) {
 		DisposableServer readiness = HttpServer.create()
 			.runOn(loops, false)
 			.bindAddress(settings::readiness)
@@ -52,25 +55,25 @@
 			.route((routes) -> routes
 				.get(METRICS_PATH,
 						(_, response) -> response.header(HttpHeaderNames.CONTENT_TYPE, "application/json")
-							.sendString(Mono.fromCallable(() -> render(registry))))
+							.sendString(Mono.fromCallable(() -> metricsJson(registry))))
 				.get(TABLES_PATH + "/{table}/{known}",
 						(request, response) -> table(tables, request.param("table"), request.param("known"))
 							.map((rows) -> response.sendByteArray(Mono.just(rows.toByteArray())).then())
 							.orElseGet(() -> response.status(204).send()))
-				.get(HELD_PATH,
+				.get(HELD_REQUESTS_PATH,
 						(_, response) -> response.header(HttpHeaderNames.CONTENT_TYPE, "application/json")
-							.sendString(held.list().map(AdminServer::json)))
-				.delete(HELD_PATH + "/{digest}",
-						(request, response) -> released(held, request.param("digest"))
+							.sendString(quarantine.list().map(AdminServer::json)))
+				.delete(HELD_REQUESTS_PATH + "/{digest}",
+						(request, response) -> release(quarantine, request.param("digest"))
 							.flatMap((status) -> response.status(status).send())))
 			.bindNow();
 		return new AdminServer(readiness, metrics);
 	}
 
 	/**
-	 * The path at which a gateway serves a table that it follows.
-	 * @param table the table
-	 * @param known the version up to which the reader knows it
+	 * Returns the path at which a gateway serves its copy of a table.
+	 * @param table the name of the table
+	 * @param known the version up to which the reader has the table
 	 * @return the path
 	 */
 	static String tablePath(String table, long known) {
@@ -83,9 +86,9 @@
 				: Optional.empty();
 	}
 
-	private static Mono<Integer> released(HeldRequests held, String digest) {
+	private static Mono<Integer> release(HeldRequests quarantine, String digest) {
 		try {
-			return held.release(RequestDigest.parse(digest)).map((known) -> known ? 204 : 404);
+			return quarantine.release(RequestDigest.parse(digest)).map((known) -> known ? 204 : 404);
 		}
 		catch (IllegalArgumentException ex) {
 			return Mono.just(400);
@@ -96,7 +99,7 @@
 		return new String(RowJson.write(value), StandardCharsets.UTF_8);
 	}
 
-	private static String render(MetricRegistry registry) throws IOException {
+	private static String metricsJson(MetricRegistry registry) throws IOException {
 		return Mapper.SHARED.writeValueAsString(Map.of("metrics", registry));
 	}
 
@@ -106,19 +109,19 @@
 		this.metrics.disposeNow();
 	}
 
-	/** Requests under which servers crashed, for an operator. */
+	/** Lists and releases, for operators, the requests under which servers crashed. */
 	interface HeldRequests {
 
 		/**
-		 * The requests that are known, with the servers that crashed.
-		 * @return what is to be written as JSON
+		 * Returns the requests under which servers crashed.
+		 * @return the requests, to be written as JSON
 		 */
 		Mono<List<HeldRequest>> list();
 
 		/**
-		 * Releases a request, at all gateways.
-		 * @param request the request
-		 * @return whether anything was known of it
+		 * Releases a request from quarantine at all gateways.
+		 * @param request the digest of the request
+		 * @return whether there was a record of a crash under it
 		 */
 		Mono<Boolean> release(RequestDigest request);
 
@@ -127,25 +130,28 @@
 	/**
 	 * A request under which servers crashed.
 	 *
-	 * @param digest names the request
-	 * @param held whether it is held back
-	 * @param crashes the servers that crashed
+	 * @param digest the digest of the request
+	 * @param held whether the request is quarantined
+	 * @param crashes the crashes of servers that had the request
 	 */
-	record HeldRequest(String digest, boolean held, List<HeldCrash> crashes) {
+	record HeldRequest(String digest, boolean held, List<CrashEntry> crashes) {
 	}
 
 	/**
-	 * A server that crashed while it had a request.
+	 * A crash of a server that had a request.
 	 *
-	 * @param server the server
-	 * @param startedMillis which start of it
+	 * @param server the identifier of the server
+	 * @param startedMillis when that server process started, in milliseconds since 1970
 	 * @param atMillis when its connection broke, in milliseconds since 1970
-	 * @param state how sure it is
+	 * @param state the state of the evidence, in lower case
 	 */
-	record HeldCrash(String server, long startedMillis, long atMillis, String state) {
+	record CrashEntry(String server, long startedMillis, long atMillis, String state) {
 	}
 
-	/** Loaded with the first question only: start-up is part of every recovery. */
+	/**
+	 * Holds the mapper; loaded on the first request for metrics, because building it
+	 * would lengthen start-up and with it every recovery.
+	 */
 	private static final class Mapper {
 
 		private static final JsonMapper SHARED = JsonMapper.builder()
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallProgress.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallProgress.java
@@ -16,106 +16,110 @@
 import org.rosemaryfront.traffic.Call;
 
 /**
- * What was decided about a call under way: its units, the servers that had it, and what
- * is expected of the last one. Used on the control thread.
+ * The decisions made about a call in progress: its quota units, the servers it was sent
+ * to, and the expected time to first token at the last one. Confined to the control
+ * thread.
  */
 final class CallProgress {
 
-	private final SharedParts shared;
+	private final SharedParts prefix;
 
 	private final Set<String> tried = new HashSet<>();
 
 	private Optional<Start> server = Optional.empty();
 
-	private long unreadTokens;
+	private long uncachedTokens;
 
-	/** When its first token was expected, behind its sending. */
+	/** The expected time to first token since the call was sent, in milliseconds. */
 	private long expectedMillis;
 
-	/** Whether a first token is expected that did not come yet. */
-	private boolean awaited;
+	/** Whether a first token is expected and has not arrived yet. */
+	private boolean firstTokenPending;
 
 	private long sentNanos;
 
-	/** What its server had to do until its first token, unless it fetched parts. */
+	/**
+	 * The work of the server up to the first token; empty if it also transferred KV cache
+	 * entries.
+	 */
 	private Optional<Work> work = Optional.empty();
 
 	private double units;
 
-	/** When its units were taken. */
-	private long takenNanos;
+	private long chargedNanos;
 
-	/** What of the quota was used of what is allowed, for the log. */
-	private String quota = "none";
+	/** Used and allowed units of the quota, for the log. */
+	private String quotaUsage = "none";
 
-	/** With whom it was shared, for the log. */
-	private String gateways = "none";
+	/** How many gateways share the quota, for the log. */
+	private String sharingGateways = "none";
 
 	private boolean ran;
 
-	private int unsent;
+	private int unsentAttempts;
 
-	private CallProgress(SharedParts shared) {
-		this.shared = shared;
+	private CallProgress(SharedParts prefix) {
+		this.prefix = prefix;
 	}
 
 	// -- factories
 
 	/**
-	 * A call that came in.
+	 * Creates the progress of a call that has just arrived.
 	 * @param call the call
-	 * @return its progress, with nothing decided
+	 * @return the progress, with nothing decided
 	 */
 	static CallProgress of(Call call) {
 		return of(call.terms().prompt().map(Prompt::shared).orElse(SharedParts.none()));
 	}
 
-	static CallProgress of(SharedParts shared) {
-		return new CallProgress(shared);
+	static CallProgress of(SharedParts prefix) {
+		return new CallProgress(prefix);
 	}
 
 	// -- changes
 
 	void admitted(double taken, Taking taking, long nowNanos) {
 		this.units = taken;
-		this.takenNanos = nowNanos;
-		this.gateways = gateways(taking);
-		this.quota = String.format(Locale.ROOT, "%.0f/%.0f", taking.used(), taking.limit());
+		this.chargedNanos = nowNanos;
+		this.sharingGateways = sharingGateways(taking);
+		this.quotaUsage = String.format(Locale.ROOT, "%.0f/%.0f", taking.used(), taking.limit());
 	}
 
 	void sent(Choice.Chosen chosen, long nowNanos) {
 		this.tried.add(chosen.server().id());
 		this.server = Optional.of(chosen.server().start());
-		this.unreadTokens = chosen.unreadTokens();
+		this.uncachedTokens = chosen.unreadTokens();
 		this.expectedMillis = chosen.expectedMillis();
-		this.awaited = chosen.work().isPresent();
-		// What is fetched takes time that the work does not speak of.
+		this.firstTokenPending = chosen.work().isPresent();
+		// A transfer of KV cache entries takes time that the work does not include.
 		this.work = chosen.fetchFrom().isPresent() ? Optional.empty() : chosen.work();
 		this.sentNanos = nowNanos;
 	}
 
 	/**
-	 * With whom the quota of a call was shared, for the log.
-	 * @param taking what came of the wish for units
-	 * @return the gateways of the group, of all that may serve callers
+	 * Formats how many gateways share the quota of a call, for the log.
+	 * @param taking the result of taking units
+	 * @return the number of gateways in the group, a slash, and the number of all
+	 * gateways that may serve callers
 	 */
-	static String gateways(Taking taking) {
+	static String sharingGateways(Taking taking) {
 		return taking.sharing().group() + "/" + taking.sharing().members();
 	}
 
-	/** It did not reach the server that it was given to. */
+	/** Records that the call did not reach the server chosen for it. */
 	void notSent() {
-		this.unsent++;
+		this.unsentAttempts++;
 	}
 
-	/** A server may have run it, so that its units are spent. */
+	/** Records that a server may have run the call, so its units are not given back. */
 	void mayHaveRun() {
 		this.ran = true;
 	}
 
 	/**
-	 * Takes the units that it was admitted with.
-	 * @return the units; 0 once they were taken
+	 * Returns the units that the call was admitted with and resets them.
+	 * @return the units; 0 on later calls
 	 */
 	double takeUnits() {
 		double taken = this.units;
@@ -124,47 +128,48 @@
 	}
 
 	/**
-	 * Takes the prompt tokens that its server still had to read.
-	 * @return the tokens; 0 once they were taken
+	 * Returns the uncached prompt tokens that the server had to prefill and resets them.
+	 * @return the tokens; 0 on later calls
 	 */
-	long takeUnread() {
-		long taken = this.unreadTokens;
-		this.unreadTokens = 0;
+	long takeUncachedTokens() {
+		long taken = this.uncachedTokens;
+		this.uncachedTokens = 0;
 		return taken;
 	}
 
 	/**
-	 * Its first token came, or its answer.
-	 * @param nowNanos the time
-	 * @return how long it took, against what was expected where something was; empty when
-	 * it has no server
+	 * Returns the ratio of measured to expected time when the first token or the response
+	 * arrives.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the ratio, with one millisecond added to both times and 0 expected where
+	 * there is no expectation; empty if the call has no server
 	 */
-	OptionalDouble beganRatio(long nowNanos) {
+	OptionalDouble latencyRatio(long nowNanos) {
 		long millis = TimeUnit.NANOSECONDS.toMillis(nowNanos - this.sentNanos);
 		return this.server.isPresent() ? OptionalDouble.of((1.0 + millis) / (1 + this.expectedMillis))
 				: OptionalDouble.empty();
 	}
 
 	/**
-	 * Its first token came.
-	 * @param nowNanos the time
-	 * @return how long it took against what was expected, empty when nothing was expected
-	 * or it came before
+	 * Records that the first token arrived.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the measured and expected time to first token; empty if none was expected
+	 * or it was recorded before
 	 */
 	Optional<FirstToken> firstToken(long nowNanos) {
-		if (!this.awaited || this.server.isEmpty()) {
+		if (!this.firstTokenPending || this.server.isEmpty()) {
 			return Optional.empty();
 		}
 		long millis = TimeUnit.NANOSECONDS.toMillis(nowNanos - this.sentNanos);
 		FirstToken first = new FirstToken(this.server.get(), this.expectedMillis, millis, this.work);
-		this.awaited = false;
+		this.firstTokenPending = false;
 		return Optional.of(first);
 	}
 
 	// -- queries
 
-	SharedParts shared() {
-		return this.shared;
+	SharedParts prefix() {
+		return this.prefix;
 	}
 
 	Set<String> tried() {
@@ -183,33 +188,33 @@
 		return this.sentNanos;
 	}
 
-	long takenNanos() {
-		return this.takenNanos;
+	long chargedNanos() {
+		return this.chargedNanos;
 	}
 
-	String quota() {
-		return this.quota;
+	String quotaUsage() {
+		return this.quotaUsage;
 	}
 
-	String gateways() {
-		return this.gateways;
+	String sharingGateways() {
+		return this.sharingGateways;
 	}
 
 	boolean ran() {
 		return this.ran;
 	}
 
-	int unsent() {
-		return this.unsent;
+	int unsentAttempts() {
+		return this.unsentAttempts;
 	}
 
 	/**
-	 * How long a first token took.
+	 * A measured time to first token.
 	 *
-	 * @param server who made it
-	 * @param expectedMillis the time that was expected, in milliseconds
-	 * @param millis the time that it took, in milliseconds
-	 * @param work what the server had to do, empty when that is not all that took time
+	 * @param server the server process that produced it
+	 * @param expectedMillis the expected time, in milliseconds
+	 * @param millis the measured time, in milliseconds
+	 * @param work the work of the server, empty if other work took time as well
 	 */
 	record FirstToken(Start server, long expectedMillis, long millis, Optional<Work> work) {
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashGuard.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashGuard.java
@@ -18,30 +18,30 @@
 import org.rosemaryfront.traffic.Refusal.Cause;
 
 /**
- * Keeps calls from servers whose requests crash them, and takes from the ends of calls
- * what speaks for and against their requests. Used on the control thread, but for
- * {@link #isHeldBack}.
+ * Blocks calls whose requests are quarantined because servers crash under them, and
+ * collects evidence for and against requests from the outcomes of calls. Confined to the
+ * control thread, except {@link #isQuarantined}.
  */
 final class CrashGuard {
 
 	/**
-	 * When to come back with a request that is held back, in milliseconds. It stays so
-	 * until an operator releases it.
+	 * Retry-after time for a quarantined request, in milliseconds. The request stays
+	 * quarantined until an operator releases it.
 	 */
-	static final long RETRY_MILLIS = 60_000;
+	static final long QUARANTINE_RETRY_MILLIS = 60_000;
 
 	/**
-	 * When to come back with a request of which a copy is on trial, in milliseconds:
-	 * calls that crashed their servers did so within a second.
+	 * Retry-after time while a probe of the request is running, in milliseconds: calls
+	 * that crashed their servers did so within a second.
 	 */
-	private static final long TRIAL_RETRY_MILLIS = 1_000;
+	private static final long PROBE_RETRY_MILLIS = 1_000;
 
 	private final CrashRecords crashes;
 
 	private final BackendTable servers;
 
-	/** Calls that are sent though their requests are held back. */
-	private final Set<Call> onTrial = ConcurrentHashMap.newKeySet();
+	/** Calls sent as probes although their requests are quarantined. */
+	private final Set<Call> probes = ConcurrentHashMap.newKeySet();
 
 	CrashGuard(CrashRecords crashes, BackendTable servers) {
 		this.crashes = crashes;
@@ -51,118 +51,121 @@
 	// -- before a call is sent
 
 	/**
-	 * Lets a call go on, or refuses it at once. It uses no quota before that.
+	 * Admits a call or refuses it immediately, before it uses any quota.
 	 * @param call the call
-	 * @param go goes on with it, at the time given
-	 * @param now the time
+	 * @param proceed continues with the call; takes the current time
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void admit(Call call, LongConsumer go, long now) {
+	void admit(Call call, LongConsumer proceed, long nowNanos) {
 		if (!this.crashes.isKnown()) {
 			call.refuse(503, GatewayControl.fullRetryMillis(),
-					Refusal.of(Cause.CRASHES_UNKNOWN, "the requests that are held back are not known yet"));
+					Refusal.of(Cause.CRASHES_UNKNOWN, "quarantined requests not read from the store yet"));
 			return;
 		}
 		switch (judge(call)) {
-			case Judgement.Free _ -> go.accept(now);
-			case Judgement.OnTrial trial -> this.crashes.trials()
-				.claim(call.digest().orElseThrow(), (granted) -> claimed(call, granted, go, trial));
-			case Judgement.Held held -> call.refuse(503, RETRY_MILLIS, refusal(held));
+			case Judgement.Free _ -> proceed.accept(nowNanos);
+			case Judgement.OnTrial trial -> this.crashes.probes()
+				.claim(call.digest().orElseThrow(), (granted) -> claimed(call, granted, proceed, trial));
+			case Judgement.Held held -> call.refuse(503, QUARANTINE_RETRY_MILLIS, refusal(held));
 		}
 	}
 
-	private void claimed(Call call, boolean granted, LongConsumer go, Judgement judgement) {
+	private void claimed(Call call, boolean granted, LongConsumer proceed, Judgement decision) {
 		if (granted) {
-			this.onTrial.add(call);
-			go.accept(System.nanoTime());
+			this.probes.add(call);
+			proceed.accept(System.nanoTime());
 		}
 		else {
-			call.refuse(503, TRIAL_RETRY_MILLIS, refusal(judgement));
+			call.refuse(503, PROBE_RETRY_MILLIS, refusal(decision));
 		}
 	}
 
 	/**
-	 * Why a call is not sent, or not sent again: its own servers crashed, or those of
+	 * Returns why a call must not be sent or retried: servers crashed under it or under
 	 * other copies of its request.
 	 * @param call the call
-	 * @return the refusal, empty when it may be sent
+	 * @return the refusal, empty if the call may be sent
 	 */
-	Optional<Refusal> heldBack(Call call) {
-		Judgement judgement = judge(call);
-		return switch (judgement) {
+	Optional<Refusal> quarantineRefusal(Call call) {
+		Judgement decision = judge(call);
+		return switch (decision) {
 			case Judgement.Free _ -> Optional.empty();
-			case Judgement.OnTrial _, Judgement.Held _ -> Optional.of(refusal(judgement));
+			case Judgement.OnTrial _, Judgement.Held _ -> Optional.of(refusal(decision));
 		};
 	}
 
 	/**
-	 * Whether a call must not be sent any more; may be asked on any thread.
+	 * Returns whether a call must no longer be sent. Safe to call on any thread.
 	 * @param call the call
-	 * @return true when its request is held back and it is not on trial
+	 * @return true if its request is quarantined and the call is not the probe
 	 */
-	boolean isHeldBack(Call call) {
-		return call.digest().filter(this.crashes::isHeld).isPresent() && !this.onTrial.contains(call);
+	boolean isQuarantined(Call call) {
+		return call.digest().filter(this.crashes::isQuarantined).isPresent() && !this.probes.contains(call);
 	}
 
-	// -- while it is under way
+	// -- while a call is in progress
 
 	/**
-	 * The calls whose request is held back, but for the one on trial.
-	 * @param request the request
-	 * @param calls all calls under way
-	 * @return those to be ended
+	 * Returns the calls of a quarantined request, except the probe.
+	 * @param request the digest of the request
+	 * @param calls all calls in progress
+	 * @return the calls to be ended
 	 */
 	List<Call> copies(RequestDigest request, Collection<Call> calls) {
 		return calls.stream()
-			.filter((call) -> call.digest().equals(Optional.of(request)) && !this.onTrial.contains(call))
+			.filter((call) -> call.digest().equals(Optional.of(request)) && !this.probes.contains(call))
 			.toList();
 	}
 
 	/**
-	 * Ends a call whose request is held back from now on. Waiting for its turn at a
-	 * server, it would crash one more.
+	 * Ends a call whose request was quarantined; if it stayed queued at a server, it
+	 * would crash that server too.
 	 * @param call the call
 	 * @param ran whether a server may have run it
 	 */
 	void withdraw(Call call, boolean ran) {
-		call.withdraw(ran, RETRY_MILLIS, refusal(judge(call)));
+		call.withdraw(ran, QUARANTINE_RETRY_MILLIS, refusal(judge(call)));
 	}
 
-	// -- how it ended
+	// -- outcomes of calls
 
 	/**
-	 * A call was answered whole.
+	 * Records that a call got a complete response.
 	 * @param call the call
-	 * @param server who answered
-	 * @param sentNanos when the call was sent there
-	 * @param now the time
+	 * @param server the server that responded
+	 * @param sentNanos when the call was sent to the server, on the monotonic clock, in
+	 * nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void answered(Call call, BackendServer server, long sentNanos, long now) {
-		this.crashes.answers(server.start(), sentNanos, now);
-		call.digest().ifPresent((request) -> this.crashes.answered(request, now));
+	void answered(Call call, BackendServer server, long sentNanos, long nowNanos) {
+		this.crashes.serverResponded(server.start(), sentNanos, nowNanos);
+		call.digest().ifPresent((request) -> this.crashes.requestCompleted(request, nowNanos));
 	}
 
 	/**
-	 * A call failed at a server. Servers that are about to leave end what they have when
-	 * they go: that is no crash.
+	 * Records that a call failed at a server. Broken connections of servers that were
+	 * about to shut down are not counted as crashes: a server ends its remaining calls
+	 * when it shuts down.
 	 * @param call the call
 	 * @param server the server
-	 * @param failure what happened
-	 * @param now the time
+	 * @param failure the failure
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void failed(Call call, BackendServer server, Failure failure, long now) {
+	void failed(Call call, BackendServer server, Failure failure, long nowNanos) {
 		boolean broke = failure.sent() && !failure.answered() && !(failure.verdict() instanceof Verdict.NotRun);
 		if (broke && this.servers.isExpected(server.start())) {
-			call.digest().ifPresent((request) -> this.crashes.broke(request, server, now));
+			call.digest().ifPresent((request) -> this.crashes.connectionBroke(request, server, nowNanos));
 		}
 	}
 
 	/**
-	 * A call is over. A trial that no server got is for the next copy.
+	 * Records that a call ended. A probe that was never sent to a server is given back
+	 * for the next copy.
 	 * @param call the call
 	 */
-	void over(Call call) {
-		if (this.onTrial.remove(call) && call.sends() == 0) {
-			this.crashes.trials().giveBack(call.digest().orElseThrow());
+	void ended(Call call) {
+		if (this.probes.remove(call) && call.sends() == 0) {
+			this.crashes.probes().giveBack(call.digest().orElseThrow());
 		}
 	}
 
@@ -170,9 +173,9 @@
 		return call.digest().map(this.crashes::judge).orElse(Judgement.none());
 	}
 
-	private static Refusal refusal(Judgement judgement) {
-		return Refusal.of(Cause.CRASHES_SERVERS,
-				"crashed under it: " + judgement.servers().stream().map(BackendServer.Start::id).toList());
+	private static Refusal refusal(Judgement decision) {
+		return Refusal.of(Cause.CRASHES_SERVERS, "servers that crashed under the request: "
+				+ decision.servers().stream().map(BackendServer.Start::id).toList());
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRows.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRows.java
@@ -12,44 +12,45 @@
 import org.rosemaryfront.dispatch.BackendServer.Start;
 
 /**
- * The rows about requests under which backend servers crash: one for each request and
- * server, and one for the trial of a request.
+ * Keys and values of the rows about requests under which backend servers crash: one row
+ * for each request and server, and one for the probe of a request.
  */
 final class CrashRows {
 
 	static final String TABLE = "crashes";
 
-	private static final String TRIAL = "trial";
+	private static final String PROBE = "trial";
 
 	private static final TypeReference<CrashRow> CRASH_ROW = new TypeReference<>() {
 	};
 
-	private static final TypeReference<TrialRow> TRIAL_ROW = new TypeReference<>() {
+	private static final TypeReference<TrialRow> PROBE_ROW = new TypeReference<>() {
 	};
 
 	private CrashRows() {
 	}
 
-	// The server's name can be as long as a key may be: its hash is in the key.
+	// The server's name alone can be as long as the longest key allowed, so the key
+	// contains its hash.
 	static String key(Crash crash) {
 		long server = Hashing.wyhashFinal4()
 			.hashCharsToLong(crash.server().id() + '@' + crash.server().startedMillis());
 		return crash.request().toString() + '/' + String.format(Locale.ROOT, "%016x", server);
 	}
 
-	static String trialKey(RequestDigest request) {
-		return request.toString() + '/' + TRIAL;
+	static String probeKey(RequestDigest request) {
+		return request.toString() + '/' + PROBE;
 	}
 
-	static boolean isTrial(String key) {
-		return key.endsWith('/' + TRIAL);
+	static boolean isProbe(String key) {
+		return key.endsWith('/' + PROBE);
 	}
 
 	/**
-	 * The request that a row is about.
+	 * Returns the request that a row is about.
 	 * @param key the key of the row
-	 * @return the request
-	 * @throws IllegalArgumentException when the key names none
+	 * @return the digest of the request
+	 * @throws IllegalArgumentException if the key does not contain a digest
 	 */
 	static RequestDigest request(String key) {
 		return RequestDigest.parse(key.substring(0, Math.max(0, key.indexOf('/'))));
@@ -61,50 +62,50 @@
 				evidence.state() == State.CLEARED, gateway));
 	}
 
-	static byte[] writeTrial(String process) {
+	static byte[] writeProbe(String process) {
 		return RowJson.write(new TrialRow(process));
 	}
 
 	/**
-	 * Reads the row about the trial of a request.
-	 * @param value its value
-	 * @return the start of the gateway that has the trial
-	 * @throws IllegalStateException when the value cannot be read
+	 * Reads the row of a request's probe.
+	 * @param value the value of the row
+	 * @return the gateway process that has the probe
+	 * @throws IllegalStateException if the value cannot be parsed
 	 */
-	static String readTrial(byte[] value) {
-		return RowJson.read(value, TRIAL_ROW, "the row of a trial").gateway();
+	static String readProbe(byte[] value) {
+		return RowJson.read(value, PROBE_ROW, "probe row").gateway();
 	}
 
 	/**
-	 * Reads a row about a crash.
+	 * Reads the row of a crash.
 	 * @param key the key of the row
-	 * @param value its value
+	 * @param value the value of the row
 	 * @return the evidence
-	 * @throws IllegalArgumentException when the key names no request
-	 * @throws IllegalStateException when the value cannot be read
+	 * @throws IllegalArgumentException if the key does not contain a digest
+	 * @throws IllegalStateException if the value cannot be parsed
 	 */
 	static Evidence read(String key, byte[] value) {
-		CrashRow row = RowJson.read(value, CRASH_ROW, "the row of a crash");
+		CrashRow row = RowJson.read(value, CRASH_ROW, "crash row");
 		Crash crash = new Crash(request(key), new Start(row.server(), row.startedMillis()));
 		return new Evidence(crash, row.cleared() ? State.CLEARED : State.CONFIRMED, row.atMillis());
 	}
 
 	/**
-	 * The value of a row.
+	 * The value of the row of a crash.
 	 *
-	 * @param server the server that crashed
-	 * @param startedMillis which start of it
+	 * @param server the identifier of the server that crashed
+	 * @param startedMillis when that server process started, in milliseconds since 1970
 	 * @param atMillis when its connection broke, in milliseconds since 1970
-	 * @param cleared whether it does not speak against the request any more
-	 * @param gateway who wrote the row
+	 * @param cleared whether the crash no longer counts against the request
+	 * @param gateway the gateway process that wrote the row
 	 */
 	private record CrashRow(String server, long startedMillis, long atMillis, boolean cleared, String gateway) {
 	}
 
 	/**
-	 * The value of a row about a trial.
+	 * The value of the row of a probe.
 	 *
-	 * @param gateway which start of a gateway has it
+	 * @param gateway the gateway process that has the probe
 	 */
 	private record TrialRow(String gateway) {
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashStore.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashStore.java
@@ -24,83 +24,89 @@
 import org.rosemaryfront.program.ControlLoop;
 
 /**
- * Keeps crashes under requests in the store, where they last over a kill of all processes
- * and reach gateways that do not hear one another. What the store does not take is
- * written once it does. Used on the control thread.
+ * Persists crashes under requests in the store, so that they survive a kill of all
+ * processes and reach gateways that cannot exchange reports. Failed writes are retried
+ * until the store accepts them. Confined to the control thread.
  */
 final class CrashStore {
 
 	/**
-	 * The time between two looks at what is to be written, in nanoseconds: the control
-	 * thread comes by with each call.
+	 * Minimum time between two checks for pending writes, in nanoseconds; without it
+	 * every call on the control thread would run the check.
 	 */
-	private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+	private static final long WRITE_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-	/** Rows written at once; the store takes a hundred a call. */
-	private static final int MOST_WRITES = 50;
+	/** Maximum rows per commit; the store accepts a hundred. */
+	private static final int MAX_WRITES = 50;
 
 	/**
-	 * How long rows of what was cleared are kept, for news that come late, and while
-	 * there are many rows those of requests with a single crash.
+	 * Retention of rows of cleared crashes, in milliseconds, so that updates that arrive
+	 * late do not count; also applies to requests with a single crash while there are
+	 * more than {@link #CROWDED_ROWS} rows.
 	 */
-	private static final long SHORT_KEPT_MILLIS = TimeUnit.MINUTES.toMillis(10);
+	private static final long SHORT_RETENTION_MILLIS = TimeUnit.MINUTES.toMillis(10);
 
 	/**
-	 * The time between two looks for such rows, which are kept for minutes at the least:
-	 * the duties come by ten times a second, also while the store takes no deletion.
+	 * Minimum time between two searches for rows to delete, in milliseconds. Rows are
+	 * kept for minutes, while the duties run ten times a second, also when the store
+	 * accepts no deletions.
 	 */
-	private static final long TIDY_MILLIS = TimeUnit.SECONDS.toMillis(10);
+	private static final long CLEAN_UP_INTERVAL_MILLIS = TimeUnit.SECONDS.toMillis(10);
 
-	/** From so many rows on single crashes are kept for a shorter time. */
+	/**
+	 * Number of rows above which single crashes are kept for
+	 * {@link #SHORT_RETENTION_MILLIS}.
+	 */
 	private static final int CROWDED_ROWS = 512;
 
 	/**
-	 * How long crashes of a request are kept that is not held back: a request that
-	 * crashes servers comes again within that time, and others are long forgotten by
-	 * then.
+	 * Retention of the crashes of a request that is not quarantined, in milliseconds: a
+	 * request that crashes servers recurs within this time, and the crashes of other
+	 * requests no longer matter after it.
 	 */
-	private static final long KEPT_MILLIS = TimeUnit.DAYS.toMillis(1);
+	private static final long RETENTION_MILLIS = TimeUnit.DAYS.toMillis(1);
 
 	private final RowStore store;
 
 	private final CrashTable table;
 
-	private final CrashTrials trials;
+	private final QuarantineProbes probes;
 
 	private final ControlLoop control;
 
-	/** This start of this gateway. */
+	/** The name of this gateway process, unique to this start. */
 	private final String process;
 
-	private final News news;
+	private final News updates;
 
-	/** Which crash a row is about, for rows that go. */
+	/** The crash of each row by its key, to look it up when the row is deleted. */
 	private final Map<String, Crash> rows = new HashMap<>();
 
 	private int writing;
 
-	private long lookedNanos = System.nanoTime();
+	private long checkedNanos = System.nanoTime();
 
-	/** The time of day of the last look for rows that nothing needs. */
-	private long tidiedMillis;
+	/** The time of day of the last search for rows to delete. */
+	private long cleanedUpMillis;
 
-	private volatile boolean known;
+	private volatile boolean loaded;
 
-	CrashStore(RowStore store, CrashTable table, CrashTrials trials, ControlLoop control, String process, News news) {
+	CrashStore(RowStore store, CrashTable table, QuarantineProbes probes, ControlLoop control, String process,
+			News updates) {
 		this.store = store;
 		this.table = table;
-		this.trials = trials;
+		this.probes = probes;
 		this.control = control;
 		this.process = process;
-		this.news = news;
+		this.updates = updates;
 	}
 
 	/**
-	 * Whether the table was read once.
-	 * @return true from then on; may be asked on any thread
+	 * Returns whether the table has been read from the store. Safe to call on any thread.
+	 * @return true once the table was read
 	 */
-	boolean isKnown() {
-		return this.known;
+	boolean isLoaded() {
+		return this.loaded;
 	}
 
 	TableWatch.Listener listener() {
@@ -110,29 +116,30 @@
 	// -- writing
 
 	/**
-	 * Lets time pass.
-	 * @param now the time
+	 * Expires old evidence and writes pending evidence to the store.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void tick(long now) {
-		if (now - this.lookedNanos >= LOOK_NANOS) {
-			this.lookedNanos = now;
-			this.table.expire(now).forEach(this.news.removed());
-			writeDue(now);
+	void tick(long nowNanos) {
+		if (nowNanos - this.checkedNanos >= WRITE_CHECK_INTERVAL_NANOS) {
+			this.checkedNanos = nowNanos;
+			this.table.expire(nowNanos).forEach(this.updates.removed());
+			writeDue(nowNanos);
 		}
 	}
 
-	private void writeDue(long now) {
-		if (this.writing > 0 || !this.known) {
+	private void writeDue(long nowNanos) {
+		if (this.writing > 0 || !this.loaded) {
 			return;
 		}
-		List<Evidence> due = this.table.unwritten(MOST_WRITES, now);
+		List<Evidence> due = this.table.unwritten(MAX_WRITES, nowNanos);
 		if (!due.isEmpty()) {
 			write(due);
 		}
 	}
 
-	// New rows must not be there: a write whose answer was lost can take effect seconds
-	// later, and would make a crash count again that was cleared meanwhile.
+	// Rows of confirmed crashes are written only if absent: a write whose response was
+	// lost can take effect seconds later, and without the condition it would restore a
+	// crash that was cleared in the meantime.
 	private void write(List<Evidence> due) {
 		this.writing++;
 		List<Condition> conditions = due.stream()
@@ -143,84 +150,87 @@
 			.map((evidence) -> new Write(CrashRows.key(evidence.crash()), CrashRows.write(evidence, this.process)))
 			.toList();
 		this.store.commit(new Commit(CrashRows.TABLE, conditions, writes, List.of()))
-			.subscribe((outcome) -> this.control.post((now) -> written(due, outcome, now)),
-					(failure) -> this.control.post((now) -> notWritten(due, failure, now)));
+			.subscribe((outcome) -> this.control.post((nowNanos) -> written(due, outcome, nowNanos)),
+					(failure) -> this.control.post((nowNanos) -> writeFailed(due, failure, nowNanos)));
 	}
 
-	private void written(List<Evidence> due, Outcome outcome, long now) {
+	private void written(List<Evidence> due, Outcome outcome, long nowNanos) {
 		this.writing--;
 		switch (outcome) {
 			case Outcome.Committed _ -> due.forEach(this.table::written);
 			case Outcome.Conflict _ when due.size() == 1 -> this.table.written(due.getFirst());
-			// Another gateway wrote one of the rows: each for itself.
-			case Outcome.Conflict _ -> due.forEach((one) -> write(List.of(one)));
+			// Another gateway wrote one of the rows, so each row is written on its own.
+			case Outcome.Conflict _ -> due.forEach((pending) -> write(List.of(pending)));
 		}
-		writeDue(now);
+		writeDue(nowNanos);
 	}
 
-	private void notWritten(List<Evidence> due, Throwable failure, long now) {
+	private void writeFailed(List<Evidence> due, Throwable failure, long nowNanos) {
 		this.writing--;
 		RowLog.failed(CrashRows.key(due.getFirst().crash()), "write", failure);
-		due.forEach((one) -> this.table.notWritten(one, now));
+		due.forEach((pending) -> this.table.notWritten(pending, nowNanos));
 	}
 
 	/**
-	 * Removes rows that nothing needs any more, as the holder of the duties.
-	 * @param epochMillis the time of day
+	 * Deletes rows that are no longer needed; called by the gateway that holds the
+	 * duties.
+	 * @param epochMillis the time of day, in milliseconds since 1970
 	 */
-	void tidy(long epochMillis) {
-		if (Math.abs(epochMillis - this.tidiedMillis) < TIDY_MILLIS) {
+	void cleanUp(long epochMillis) {
+		if (Math.abs(epochMillis - this.cleanedUpMillis) < CLEAN_UP_INTERVAL_MILLIS) {
 			return;
 		}
-		this.tidiedMillis = epochMillis;
-		List<String> old = this.rows.entrySet()
+		this.cleanedUpMillis = epochMillis;
+		List<String> expired = this.rows.entrySet()
 			.stream()
-			.filter((entry) -> isOld(entry.getValue(), epochMillis))
+			.filter((entry) -> isExpired(entry.getValue(), epochMillis))
 			.map(Map.Entry::getKey)
-			.limit(MOST_WRITES)
+			.limit(MAX_WRITES)
 			.toList();
-		if (!old.isEmpty()) {
-			this.store.commit(new Commit(CrashRows.TABLE, List.of(), List.of(), old)).subscribe((_) -> {
-			}, (failure) -> RowLog.failed(old.getFirst(), "delete", failure));
+		if (!expired.isEmpty()) {
+			this.store.commit(new Commit(CrashRows.TABLE, List.of(), List.of(), expired)).subscribe((_) -> {
+			}, (failure) -> RowLog.failed(expired.getFirst(), "delete", failure));
 		}
 	}
 
-	// What the table forgot for want of room goes from the store as well.
-	private boolean isOld(Crash crash, long epochMillis) {
+	// Crashes that the table evicted because it was full are deleted from the store as
+	// well.
+	private boolean isExpired(Crash crash, long epochMillis) {
 		if (this.table.isHeld(crash.request())) {
 			return false;
 		}
 		Optional<Evidence> evidence = this.table.evidence(crash);
-		return evidence.isEmpty() || epochMillis - evidence.get().atMillis() > keptMillis(evidence.get());
+		return evidence.isEmpty() || epochMillis - evidence.get().atMillis() > retentionMillis(evidence.get());
 	}
 
-	private long keptMillis(Evidence evidence) {
+	private long retentionMillis(Evidence evidence) {
 		boolean isCrowded = this.rows.size() > CROWDED_ROWS;
 		boolean isSingle = this.table.judge(evidence.crash().request()).servers().size() <= 1;
-		return (evidence.state() == State.CLEARED || (isCrowded && isSingle)) ? SHORT_KEPT_MILLIS : KEPT_MILLIS;
+		return (evidence.state() == State.CLEARED || (isCrowded && isSingle)) ? SHORT_RETENTION_MILLIS
+				: RETENTION_MILLIS;
 	}
 
 	// -- reading
 
-	private void all(List<Row> present, long now) {
+	private void load(List<Row> presentRows, long nowNanos) {
 		Set<String> keys = new HashSet<>();
-		present.forEach((row) -> keys.add(row.key()));
-		List.copyOf(this.rows.keySet()).stream().filter((key) -> !keys.contains(key)).forEach(this::gone);
-		this.trials.retain(keys);
-		present.forEach((row) -> row(row, now));
-		this.known = true;
+		presentRows.forEach((row) -> keys.add(row.key()));
+		List.copyOf(this.rows.keySet()).stream().filter((key) -> !keys.contains(key)).forEach(this::rowRemoved);
+		this.probes.retain(keys);
+		presentRows.forEach((row) -> row(row, nowNanos));
+		this.loaded = true;
 	}
 
-	private void row(Row row, long now) {
+	private void row(Row row, long nowNanos) {
 		try {
 			if (row.value().isEmpty()) {
-				gone(row.key());
+				rowRemoved(row.key());
 			}
-			else if (CrashRows.isTrial(row.key())) {
-				this.trials.given(CrashRows.request(row.key()), CrashRows.readTrial(row.value().get()));
+			else if (CrashRows.isProbe(row.key())) {
+				this.probes.granted(CrashRows.request(row.key()), CrashRows.readProbe(row.value().get()));
 			}
 			else {
-				crash(row.key(), CrashRows.read(row.key(), row.value().get()), now);
+				crash(row.key(), CrashRows.read(row.key(), row.value().get()), nowNanos);
 			}
 		}
 		catch (IllegalArgumentException | IllegalStateException ex) {
@@ -228,44 +238,44 @@
 		}
 	}
 
-	private void crash(String key, Evidence evidence, long now) {
+	private void crash(String key, Evidence evidence, long nowNanos) {
 		this.rows.put(key, evidence.crash());
-		if (this.table.stored(evidence, now)) {
-			this.news.crash().accept(evidence, now);
+		if (this.table.stored(evidence, nowNanos)) {
+			this.updates.crash().accept(evidence, nowNanos);
 		}
 	}
 
-	private void gone(String key) {
-		if (CrashRows.isTrial(key)) {
-			this.trials.gone(CrashRows.request(key));
+	private void rowRemoved(String key) {
+		if (CrashRows.isProbe(key)) {
+			this.probes.rowRemoved(CrashRows.request(key));
 		}
 		Crash crash = this.rows.remove(key);
 		if (crash != null) {
 			this.table.removed(crash);
-			this.news.removed().accept(crash.request());
+			this.updates.removed().accept(crash.request());
 		}
 	}
 
 	/**
-	 * Who is told of rows.
+	 * Callbacks for changes of rows.
 	 *
-	 * @param crash takes a crash that is news, and the time
-	 * @param removed takes a request of which a row was removed
+	 * @param crash receives the evidence of a new or changed crash and the current time
+	 * @param removed receives the request of a deleted row or expired crash
 	 */
 	record News(BiConsumer<Evidence, Long> crash, Consumer<RequestDigest> removed) {
 	}
 
-	/** Takes news of the table. */
+	/** Applies changes of the stored table on the control thread. */
 	private final class Listener implements TableWatch.Listener {
 
 		@Override
-		public void all(List<Row> present, long version) {
-			CrashStore.this.control.post((now) -> CrashStore.this.all(present, now));
+		public void all(List<Row> presentRows, long version) {
+			CrashStore.this.control.post((nowNanos) -> CrashStore.this.load(presentRows, nowNanos));
 		}
 
 		@Override
 		public void changed(List<Row> changed, long version) {
-			CrashStore.this.control.post((now) -> changed.forEach((row) -> row(row, now)));
+			CrashStore.this.control.post((nowNanos) -> changed.forEach((row) -> row(row, nowNanos)));
 		}
 
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashTrials.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/QuarantineProbes.java
@@ -21,14 +21,14 @@
 import org.rosemaryfront.program.ControlLoop;
 
 /**
- * The trials of requests that are held back: one for each request, for all gateways and
- * all their starts, since each is written down before the request is sent. Used on the
- * control thread.
+ * The probes of quarantined requests. Each request gets one probe across all gateways and
+ * their restarts, because the probe is recorded in the store before the request is sent.
+ * Confined to the control thread.
  */
-final class CrashTrials {
+final class QuarantineProbes {
 
-	/** The pause behind a row that could not be deleted. */
-	private static final Duration AGAIN = Duration.ofSeconds(1);
+	/** The delay before a failed deletion of a row is retried. */
+	private static final Duration RETRY_INTERVAL = Duration.ofSeconds(1);
 
 	private final RowStore store;
 
@@ -36,40 +36,40 @@
 
 	private final ControlLoop control;
 
-	/** This start of this gateway. */
+	/** The name of this gateway process, unique to this start. */
 	private final String process;
 
-	/** Told when a trial was given, or given back. */
-	private final Consumer<RequestDigest> changed;
+	/** Called when the probe of a request was granted or given back. */
+	private final Consumer<RequestDigest> onChange;
 
-	/** Which start of a gateway has, or had, the trial of a request. */
+	/** The gateway process that has, or had, the probe of each request. */
 	private final Map<RequestDigest, String> holders = new HashMap<>();
 
-	/** Trials that this process asked for and has not given back. */
-	private final Set<RequestDigest> own = new HashSet<>();
+	/** Probes that this process claimed and has not given back. */
+	private final Set<RequestDigest> ownClaims = new HashSet<>();
 
-	CrashTrials(RowStore store, CrashTable table, ControlLoop control, String process,
-			Consumer<RequestDigest> changed) {
+	QuarantineProbes(RowStore store, CrashTable table, ControlLoop control, String process,
+			Consumer<RequestDigest> onChange) {
 		this.store = store;
 		this.table = table;
 		this.control = control;
 		this.process = process;
-		this.changed = changed;
+		this.onChange = onChange;
 	}
 
 	/**
-	 * Asks for the trial of a request.
-	 * @param request the request
-	 * @param reply whether this gateway has it
+	 * Claims the probe of a request.
+	 * @param request the digest of the request
+	 * @param reply receives whether the claim was granted
 	 */
 	void claim(RequestDigest request, Consumer<Boolean> reply) {
-		if (!this.own.add(request)) {
+		if (!this.ownClaims.add(request)) {
 			reply.accept(false);
 			return;
 		}
-		String key = CrashRows.trialKey(request);
+		String key = CrashRows.probeKey(request);
 		Commit commit = new Commit(CrashRows.TABLE, List.of(new Condition(key, 0)),
-				List.of(new Write(key, CrashRows.writeTrial(this.process))), List.of());
+				List.of(new Write(key, CrashRows.writeProbe(this.process))), List.of());
 		this.store.commit(commit)
 			.subscribe(
 					(outcome) -> this.control
@@ -83,76 +83,77 @@
 	private void claimed(RequestDigest request, boolean granted, Consumer<Boolean> reply) {
 		EventLog.info(GatewayEvents.REQUEST_ON_TRIAL, "digest", request, "granted", granted);
 		if (granted) {
-			given(request, this.process);
+			granted(request, this.process);
 		}
 		else {
-			this.own.remove(request);
+			this.ownClaims.remove(request);
 			giveBackUnused(request);
 		}
 		reply.accept(granted);
 	}
 
 	/**
-	 * Gives the trial of a request back, which was not sent, or is not needed any more.
-	 * @param request the request
+	 * Gives back the probe of a request that was not sent or is no longer needed.
+	 * @param request the digest of the request
 	 */
 	void giveBack(RequestDigest request) {
-		this.own.remove(request);
-		String key = CrashRows.trialKey(request);
+		this.ownClaims.remove(request);
+		String key = CrashRows.probeKey(request);
 		this.store.commit(new Commit(CrashRows.TABLE, List.of(), List.of(), List.of(key))).subscribe((_) -> {
 		}, (failure) -> {
 			RowLog.failed(key, "delete", failure);
-			Mono.delay(AGAIN).subscribe((_) -> this.control.post((_) -> giveBackUnused(request)));
+			Mono.delay(RETRY_INTERVAL).subscribe((_) -> this.control.post((_) -> giveBackUnused(request)));
 		});
 	}
 
-	// Guards the one trial of a request against the lost answer to a claim: its row can
-	// come seconds later, with nothing sent, and the request would stay held back.
+	// If the response to a claim is lost, its row can still appear seconds later although
+	// nothing was sent. Without giving that probe back, the request would stay
+	// quarantined.
 	private void giveBackUnused(RequestDigest request) {
-		boolean unused = this.process.equals(this.holders.get(request)) && !this.own.contains(request);
+		boolean unused = this.process.equals(this.holders.get(request)) && !this.ownClaims.contains(request);
 		if (unused) {
 			giveBack(request);
 		}
 	}
 
-	boolean isGiven(RequestDigest request) {
+	boolean isGranted(RequestDigest request) {
 		return this.holders.containsKey(request);
 	}
 
 	// -- rows
 
 	/**
-	 * The store has the row of a trial.
-	 * @param request the request
-	 * @param holder which start of a gateway has the trial
+	 * Records that the store has the row of a probe.
+	 * @param request the digest of the request
+	 * @param holder the gateway process that has the probe
 	 */
-	void given(RequestDigest request, String holder) {
+	void granted(RequestDigest request, String holder) {
 		this.holders.put(request, holder);
 		this.table.trial(request, true);
-		this.changed.accept(request);
+		this.onChange.accept(request);
 		giveBackUnused(request);
 	}
 
 	/**
-	 * The store no longer has the row of a trial.
-	 * @param request the request
+	 * Records that the store no longer has the row of a probe.
+	 * @param request the digest of the request
 	 */
-	void gone(RequestDigest request) {
+	void rowRemoved(RequestDigest request) {
 		if (this.holders.remove(request) != null) {
 			this.table.trial(request, false);
-			this.changed.accept(request);
+			this.onChange.accept(request);
 		}
 	}
 
 	/**
-	 * Forgets the trials whose rows are not in the store.
-	 * @param keys the keys of all rows
+	 * Removes the probes whose rows are not in the store.
+	 * @param keys the keys of all rows in the store
 	 */
 	void retain(Set<String> keys) {
 		List.copyOf(this.holders.keySet())
 			.stream()
-			.filter((request) -> !keys.contains(CrashRows.trialKey(request)))
-			.forEach(this::gone);
+			.filter((request) -> !keys.contains(CrashRows.probeKey(request)))
+			.forEach(this::rowRemoved);
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RolloutDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RolloutDuty.java
@@ -27,9 +27,10 @@
 import org.rosemaryfront.rollout.RolloutPlan;
 
 /**
- * Carries roll-outs on, as the holder of the duties. How far each is stands in a row of
- * its own, written under a condition before any gateway hears of it, so that a successor
- * goes on from there and two holders cannot differ. Used on the control thread.
+ * Advances roll-outs at the gateway that holds the duties. The state of each roll-out is
+ * stored in its own row by a conditional write before it is sent to any gateway, so that
+ * a successor continues from it and two holders cannot diverge. Confined to the control
+ * thread.
  */
 final class RolloutDuty {
 
@@ -53,8 +54,8 @@
 
 	private final Consumer<Runnable> control;
 
-	/** What this process knows of the rows since it holds the duties, by service. */
-	private final Map<String, Work> works = new HashMap<>();
+	/** Cached state of the rows since this process took over the duties, by service. */
+	private final Map<String, CachedRows> cache = new HashMap<>();
 
 	RolloutDuty(RowStore store, RecordCodec records, Rollouts rollouts, BackendTable servers,
 			Consumer<Runnable> control) {
@@ -65,180 +66,182 @@
 		this.control = control;
 	}
 
-	/** Another process may write the rows from now on. */
+	/** Drops the cached state, because another process may write the rows from now on. */
 	void pause() {
-		this.works.clear();
+		this.cache.clear();
 	}
 
 	/**
-	 * Carries all roll-outs on by a step.
+	 * Advances each roll-out by at most one step.
 	 * @param epochMillis the time of day, in milliseconds since 1970
-	 * @param now the time
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void act(long epochMillis, long now) {
+	void act(long epochMillis, long nowNanos) {
 		this.rollouts.table().all().forEach((rollout) -> {
-			Work work = this.works.computeIfAbsent(rollout.order().service(), (_) -> new Work());
-			if (!work.busy) {
-				act(work, rollout, epochMillis, now);
+			CachedRows cached = this.cache.computeIfAbsent(rollout.order().service(), (_) -> new CachedRows());
+			if (!cached.requestInProgress) {
+				act(cached, rollout, epochMillis, nowNanos);
 			}
 		});
 	}
 
 	/**
-	 * How far the roll-out of a service is.
-	 * @param service the service
-	 * @return the phase that is written, empty when this process does not know it
+	 * Returns the phase of a service's roll-out.
+	 * @param service the name of the service
+	 * @return the phase in the store; empty if this process has not read it
 	 */
 	Optional<Phase> phase(String service) {
-		return Optional.ofNullable(this.works.get(service)).flatMap((work) -> work.state).map(State::phase);
+		return Optional.ofNullable(this.cache.get(service)).flatMap((cached) -> cached.state).map(State::phase);
 	}
 
-	private void act(Work work, Rollout rollout, long epochMillis, long now) {
+	private void act(CachedRows cached, Rollout rollout, long epochMillis, long nowNanos) {
 		RolloutOrder order = rollout.order();
-		if (!work.loaded) {
-			load(work, order.service());
+		if (!cached.loaded) {
+			load(cached, order.service());
 			return;
 		}
-		if (work.state.filter((state) -> state.isOf(order)).isEmpty()) {
-			write(work, rollout, new State(order.to(), order.number(), epochMillis, Phase.TRIAL));
+		if (cached.state.filter((state) -> state.belongsTo(order)).isEmpty()) {
+			write(cached, rollout, new State(order.to(), order.number(), epochMillis, Phase.TRIAL));
 			return;
 		}
-		State state = work.state.orElseThrow();
-		Optional<Phase> next = next(rollout, state, epochMillis);
-		rollout.said(state.phase(), now);
+		State state = cached.state.orElseThrow();
+		Optional<Phase> next = nextPhase(rollout, state, epochMillis);
+		rollout.said(state.phase(), nowNanos);
 		if (next.isPresent()) {
-			write(work, rollout, state.with(next.get()));
+			write(cached, rollout, state.with(next.get()));
 		}
 		else {
-			tell(work, order.service(), state);
+			writeOperatorRow(cached, order.service(), state);
 		}
 	}
 
-	private Optional<Phase> next(Rollout rollout, State state, long epochMillis) {
+	private Optional<Phase> nextPhase(Rollout rollout, State state, long epochMillis) {
 		boolean withdrawn = rollout.phase() == Phase.ROLLED_BACK && state.phase().leadsTo(Phase.ROLLED_BACK);
 		if (withdrawn) {
 			return Optional.of(Phase.ROLLED_BACK);
 		}
 		return RolloutPlan.next(rollout.order(), state.phase(), rollout.verdict(), epochMillis - state.sinceMillis(),
-				present(rollout));
+				serverCounts(rollout));
 	}
 
 	private void logPhase(Rollout rollout, State state) {
-		RolloutPlan.Servers present = present(rollout);
+		RolloutPlan.Servers counts = serverCounts(rollout);
 		EventLog.info(GatewayEvents.ROLLOUT_PHASE, "service", rollout.order().service(), "to", state.to(), "number",
 				state.number(), "phase", state.phase(), "verdict", rollout.verdict(), "sinceMillis",
 				System.currentTimeMillis() - state.sinceMillis(), "durationMillis", rollout.order().durationMillis(),
-				"freshServers", present.fresh(), "oldServers", present.old(), "oldCalls", present.oldCalls());
+				"freshServers", counts.fresh(), "oldServers", counts.old(), "oldCalls", counts.oldCalls());
 	}
 
-	private RolloutPlan.Servers present(Rollout rollout) {
+	private RolloutPlan.Servers serverCounts(Rollout rollout) {
 		String service = rollout.order().service();
-		List<BackendServer> stay = this.servers.serversOf(service)
+		List<BackendServer> staying = this.servers.serversOf(service)
 			.stream()
 			.filter((server) -> !server.leaving())
 			.toList();
-		int fresh = (int) stay.stream().filter(rollout::isFresh).count();
-		int oldCalls = this.servers.callsAt((server) -> server.service().equals(service) && !rollout.isFresh(server));
-		return new RolloutPlan.Servers(fresh, stay.size() - fresh, oldCalls);
+		int candidates = (int) staying.stream().filter(rollout::isFresh).count();
+		int baselineCalls = this.servers
+			.callsAt((server) -> server.service().equals(service) && !rollout.isFresh(server));
+		return new RolloutPlan.Servers(candidates, staying.size() - candidates, baselineCalls);
 	}
 
-	// -- the row of its own
+	// -- the state row
 
-	private void load(Work work, String service) {
-		work.busy = true;
+	private void load(CachedRows cached, String service) {
+		cached.requestInProgress = true;
 		this.store.read(new Range(TABLE, service, service + '\0')).subscribe((page) -> this.control.accept(() -> {
 			Optional<Row> row = page.rows().stream().findFirst();
-			work.state = row.flatMap((known) -> State.read(known, service));
-			work.version = row.map(Row::version).orElse(0L);
-			work.loaded = true;
-			work.busy = false;
-		}), (failure) -> failed(work, service, "read", failure));
+			cached.state = row.flatMap((known) -> State.read(known, service));
+			cached.version = row.map(Row::version).orElse(0L);
+			cached.loaded = true;
+			cached.requestInProgress = false;
+		}), (failure) -> failed(cached, service, "read", failure));
 	}
 
-	private void write(Work work, Rollout rollout, State state) {
-		work.busy = true;
+	private void write(CachedRows cached, Rollout rollout, State state) {
+		cached.requestInProgress = true;
 		String service = rollout.order().service();
-		Commit commit = new Commit(TABLE, List.of(new Condition(service, work.version)),
+		Commit commit = new Commit(TABLE, List.of(new Condition(service, cached.version)),
 				List.of(new Write(service, state.bytes())), List.of());
 		this.store.commit(commit).subscribe((outcome) -> this.control.accept(() -> {
-			work.busy = false;
+			cached.requestInProgress = false;
 			switch (outcome) {
 				case Outcome.Committed done -> {
-					work.state = Optional.of(state);
-					work.version = done.version();
+					cached.state = Optional.of(state);
+					cached.version = done.version();
 					logPhase(rollout, state);
 				}
-				case Outcome.Conflict _ -> work.loaded = false;
+				case Outcome.Conflict _ -> cached.loaded = false;
 			}
-		}), (failure) -> failed(work, service, "write", failure));
+		}), (failure) -> failed(cached, service, "write", failure));
 	}
 
-	// It may have taken effect or do so later: it is read before anything else.
-	private void failed(Work work, String row, String call, Throwable failure) {
+	// A failed write may have taken effect or may do so later, so the row is read again
+	// first.
+	private void failed(CachedRows cached, String row, String operation, Throwable failure) {
 		this.control.accept(() -> {
-			RowLog.failed(row, call, failure);
-			work.loaded = false;
-			work.told = Optional.empty();
-			work.busy = false;
+			RowLog.failed(row, operation, failure);
+			cached.loaded = false;
+			cached.operatorValue = Optional.empty();
+			cached.requestInProgress = false;
 		});
 	}
 
 	// -- the operator's row
 
-	private void tell(Work work, String service, State state) {
+	private void writeOperatorRow(CachedRows cached, String service, State state) {
 		byte[] value = this.records.rolloutState(state.to(), state.phase());
-		if (work.told.filter((told) -> Arrays.equals(told, value)).isPresent()) {
+		if (cached.operatorValue.filter((written) -> Arrays.equals(written, value)).isPresent()) {
 			return;
 		}
-		work.busy = true;
+		cached.requestInProgress = true;
 		RecordCodec.Place place = this.records.rolloutState(service);
 		this.store.read(new Range(place.table(), place.key(), place.key() + '\0')).flatMap((page) -> {
 			long version = page.rows().stream().findFirst().map(Row::version).orElse(0L);
 			return this.store.commit(new Commit(place.table(), List.of(new Condition(place.key(), version)),
 					List.of(new Write(place.key(), value)), List.of()));
 		})
-			.subscribe((outcome) -> this.control.accept(() -> told(work, place.key(), value, outcome)),
-					(failure) -> failed(work, place.key(), "write", failure));
+			.subscribe((outcome) -> this.control.accept(() -> operatorRowWritten(cached, place.key(), value, outcome)),
+					(failure) -> failed(cached, place.key(), "write", failure));
 	}
 
-	private static void told(Work work, String row, byte[] value, Outcome outcome) {
-		work.busy = false;
+	private static void operatorRowWritten(CachedRows cached, String row, byte[] value, Outcome outcome) {
+		cached.requestInProgress = false;
 		if (outcome instanceof Outcome.Committed done) {
-			work.told = Optional.of(value);
+			cached.operatorValue = Optional.of(value);
 			EventLog.info(GatewayEvents.ROLLOUT_STATE_WRITTEN, "row", row, "state",
 					new String(value, StandardCharsets.UTF_8), "rowVersion", done.version());
 		}
 	}
 
-	/** What is known of the rows of a service. */
-	private static final class Work {
+	/** Cached state of the rows of a service. */
+	private static final class CachedRows {
 
-		/** Whether a call to the store is under way. */
-		private boolean busy;
+		/** Whether a request to the store is in progress. */
+		private boolean requestInProgress;
 
-		/** Whether the row was read. */
+		/** Whether the state row was read. */
 		private boolean loaded;
 
 		private long version;
 
 		private Optional<State> state = Optional.empty();
 
-		/** What the operator's row holds, empty when that is not known. */
-		private Optional<byte[]> told = Optional.empty();
+		/** The value last written to the operator's row; empty if not known. */
+		private Optional<byte[]> operatorValue = Optional.empty();
 
 	}
 
 	/**
-	 * How far a roll-out is, as it stands in the store.
+	 * The stored state of a roll-out.
 	 *
-	 * @param to the version that the service is moved to
+	 * @param to the candidate version
 	 * @param number the number of the order
-	 * @param sinceMillis when the order was seen, in milliseconds since 1970
-	 * @param phase how far it is
+	 * @param sinceMillis when the order was first seen, in milliseconds since 1970
+	 * @param phase the current phase
 	 */
 	private record State(String to, long number, long sinceMillis, Phase phase) {
 
-		private boolean isOf(RolloutOrder order) {
+		private boolean belongsTo(RolloutOrder order) {
 			return this.to.equals(order.to()) && (this.number == order.number() || !this.phase.isFinal());
 		}
 
@@ -253,7 +256,7 @@
 
 		private static Optional<State> read(Row row, String service) {
 			try {
-				JsonNode node = RowJson.tree(row.value().orElseThrow(), "the roll-out of " + service);
+				JsonNode node = RowJson.tree(row.value().orElseThrow(), "roll-out state of " + service);
 				return Optional.of(new State(node.path(TO).asText(), node.path(NUMBER).asLong(),
 						node.path(SINCE).asLong(), Phase.valueOf(node.path(PHASE).asText())));
 			}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CallProgressTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CallProgressTests.java
@@ -25,12 +25,11 @@
 		this.progress.sent(new Choice.Chosen(SERVER, 0, 100, expectedMillis, 1, Optional.empty(), work), 0);
 	}
 
-	// A server that is fast enough to be expected within a millisecond is not learned
-	// from
-	// any more.
+	// Guards against ignoring servers whose expected time rounds to 0 ms: the model would
+	// no longer learn from them.
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 40 })
-	void shouldTellFirstTokenWhateverWasExpected(long expectedMillis) {
+	void shouldReportFirstTokenWhenExpectedTimeIsZeroOrMore(long expectedMillis) {
 		send(expectedMillis, Optional.of(Work.of(0, 100, 100, 1)));
 		assertThat(this.progress.firstToken(TimeUnit.MILLISECONDS.toNanos(7))).hasValueSatisfying((first) -> {
 			assertThat(first.millis()).isEqualTo(7);
@@ -39,14 +38,14 @@
 	}
 
 	@Test
-	void shouldTellFirstTokenOnce() {
+	void shouldReportFirstTokenOnlyOnce() {
 		send(40, Optional.of(Work.of(0, 100, 100, 1)));
 		this.progress.firstToken(1);
 		assertThat(this.progress.firstToken(2)).isEmpty();
 	}
 
 	@Test
-	void shouldTellNothingOfCallWithoutPrompt() {
+	void shouldReportNoFirstTokenWhenCallHasNoPrompt() {
 		send(0, Optional.empty());
 		assertThat(this.progress.firstToken(1)).isEmpty();
 	}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashingRequestTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashingRequestTests.java
@@ -18,27 +18,27 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-// Quotes, chats and bookings failed for seconds at a time, and one server after the other
-// was lost. One caller's request crashed each server that began to run it; the caller sent it
-// again, under a new id, through any gateway. Nothing but the id named a request, so that
-// each gateway took each copy for a first one and sent it to the next server: twenty
-// servers were lost to one request on nine gateways. Sixteen sendings of one request,
-// under as many ids, stood in the logs, each with a connection that broke off and a
-// server that took no new one; here nine of nine more copies were sent.
+// Guards against one request crashing server after server. The caller retries it under a
+// new id through any gateway. While requests were identified by that id alone, each
+// gateway treated every copy as a first attempt and sent it to the next server: nine
+// gateways lost twenty servers to one request, and quotes, chats and bookings failed for
+// seconds at a time. The logs showed sixteen copies under as many ids, each with a broken
+// connection and a server that accepted no new one. Without the quarantine all nine
+// repeated copies of this test are sent.
 class CrashingRequestTests {
 
 	private static final int GATEWAYS = 3;
 
-	/** After this time gateways have learned what others saw, in milliseconds. */
-	private static final long CONTACT_MILLIS = 3_000;
+	/** Time within which gateways receive the updates of the others, in milliseconds. */
+	private static final long PROPAGATION_MILLIS = 3_000;
 
-	/** Servers that may be lost to one request before it is held back. */
-	private static final int LOST = 3;
+	/** Servers that a request may crash before it is quarantined. */
+	private static final int CRASHES = 3;
 
-	/** Sendings that may follow, by all gateways together. */
-	private static final int MORE = 3;
+	/** Copies that all gateways together may still send after that. */
+	private static final int MAX_FURTHER_COPIES = 3;
 
-	/** How often the request comes again at each gateway behind that. */
+	/** Further copies of the request that each gateway receives. */
 	private static final int REPEATS = 3;
 
 	private final MemoryRowStore store = new MemoryRowStore();
@@ -60,51 +60,52 @@
 		this.servers.close();
 	}
 
-	// The answer to the request that is held back is true, final and comes with a time;
-	// other requests of its caller are served.
+	// The refusal of the quarantined request carries a retry time, and other requests of
+	// its caller are still served.
 	@ParameterizedTest
 	@ValueSource(strings = { "/drafts/", "/sheets/", "/visits/", "/summaries/" })
-	void shouldHoldBackRequestUnderWhichServersCrash(String path) throws IOException {
-		loseServers(path);
-		sleep(CONTACT_MILLIS);
-		assertThat(sendingsOfRepeats(path)).isLessThanOrEqualTo(MORE);
-		Answer answer = ask(1, path, CrashableServers.CRASHING);
-		assertThat(answer.status()).isEqualTo(503);
-		assertThat(answer.says("retry-after")).isTrue();
+	void shouldQuarantineRequestWhenServersCrashUnderIt(String path) throws IOException {
+		crashServers(path);
+		sleep(PROPAGATION_MILLIS);
+		assertThat(copiesSentOfRepeats(path)).isLessThanOrEqualTo(MAX_FURTHER_COPIES);
+		Answer response = ask(1, path, CrashableServers.CRASHING);
+		assertThat(response.status()).isEqualTo(503);
+		assertThat(response.says("retry-after")).isTrue();
 		assertThat(ask(0, path, "other").status()).isEqualTo(200);
 	}
 
-	// The gateways do not hear one another; each reaches the store.
+	// The gateways cannot exchange reports; each reaches the store.
 	@Test
-	void shouldHoldBackRequestWhenGatewaysReachOnlyTheStore() throws IOException {
+	void shouldQuarantineRequestWhenGatewaysReachOnlyTheStore() throws IOException {
 		for (int i = 1; i <= GATEWAYS; i++) {
 			this.store.put("gateways", "gateway-" + i, "127.0.0.1:9");
 		}
-		sleep(CONTACT_MILLIS);
-		loseServers("/drafts/");
-		sleep(CONTACT_MILLIS);
-		assertThat(sendingsOfRepeats("/drafts/")).isLessThanOrEqualTo(MORE);
+		sleep(PROPAGATION_MILLIS);
+		crashServers("/drafts/");
+		sleep(PROPAGATION_MILLIS);
+		assertThat(copiesSentOfRepeats("/drafts/")).isLessThanOrEqualTo(MAX_FURTHER_COPIES);
 	}
 
-	// All processes are killed once the servers are lost; none can write at its end.
+	// All processes are killed after the crashes, and none can write to the store on
+	// shutdown.
 	@Test
-	void shouldHoldBackRequestOverKillOfAllProcesses() throws IOException {
-		loseServers("/drafts/");
-		sleep(CONTACT_MILLIS);
+	void shouldQuarantineRequestWhenAllProcessesWereKilled() throws IOException {
+		crashServers("/drafts/");
+		sleep(PROPAGATION_MILLIS);
 		this.fleet.forEach((gateway) -> gateway.access.deny());
 		this.fleet.forEach(GatewayHarness::stop);
 		this.fleet = GatewayHarness.startFleet(this.store, GATEWAYS, 8_000);
 		this.fleet.getFirst().declare();
 		ready();
-		assertThat(sendingsOfRepeats("/drafts/")).isLessThanOrEqualTo(MORE);
+		assertThat(copiesSentOfRepeats("/drafts/")).isLessThanOrEqualTo(MAX_FURTHER_COPIES);
 	}
 
-	// An operator who mended the servers releases the request at one gateway, with its
-	// digest from the list; it is served through each of them.
+	// After the servers are repaired, an operator releases the request at one gateway by
+	// the digest from the list; all gateways serve it again.
 	@Test
 	void shouldServeRequestAgainWhenOperatorReleasesIt() throws IOException {
-		loseServers("/drafts/");
-		this.servers.mend();
+		crashServers("/drafts/");
+		this.servers.repair();
 		GatewayHarness.await(() -> heldDigest().isPresent());
 		assertThat(operator("DELETE", "/held-requests/" + heldDigest().orElseThrow()).status()).isEqualTo(204);
 		assertThat(operator("DELETE", "/held-requests/no-digest").status()).isEqualTo(400);
@@ -115,14 +116,14 @@
 		}
 	}
 
-	// An availability zone loses power under a request that many ask for, at each of its
-	// servers. The one copy that is sent on trial finds no server at first, and counts
-	// only once a server got it.
+	// An availability zone loses power while each of its servers runs a copy of the same
+	// request. The probe finds no server at first and is used up only once a server has
+	// received it.
 	@Test
-	void shouldServeInnocentRequestBehindItsTrial() throws IOException {
-		loseServersAtOnce("/drafts/");
-		this.servers.mend();
-		sleep(CONTACT_MILLIS);
+	void shouldServeRequestWhenItsProbeSucceeded() throws IOException {
+		crashServersSimultaneously("/drafts/");
+		this.servers.repair();
+		sleep(PROPAGATION_MILLIS);
 		assertThat(ask(0, "/drafts/", CrashableServers.CRASHING).status()).isEqualTo(503);
 		ready();
 		for (int i = 0; i < GATEWAYS; i++) {
@@ -133,8 +134,8 @@
 
 	// -- steps
 
-	private void loseServersAtOnce(String path) throws IOException {
-		this.servers.crashTogether();
+	private void crashServersSimultaneously(String path) throws IOException {
+		this.servers.crashSimultaneously();
 		List<RawCaller> callers = new ArrayList<>();
 		for (int i = 0; i < CrashableServers.COUNT; i++) {
 			RawCaller caller = this.fleet.getFirst().caller();
@@ -144,7 +145,7 @@
 			caller.read();
 			caller.close();
 		}
-		this.servers.forgetLost();
+		this.servers.deregisterCrashed();
 	}
 
 	private Answer operator(String method, String path) {
@@ -178,20 +179,20 @@
 		}
 	}
 
-	private void loseServers(String path) throws IOException {
-		for (int i = 0; this.servers.lost() < LOST; i++) {
+	private void crashServers(String path) throws IOException {
+		for (int i = 0; this.servers.crashes() < CRASHES; i++) {
 			ask(i, path, CrashableServers.CRASHING);
 			ready();
 		}
 	}
 
-	private int sendingsOfRepeats(String path) throws IOException {
-		int before = this.servers.sendings();
+	private int copiesSentOfRepeats(String path) throws IOException {
+		int before = this.servers.copiesSent();
 		for (int i = 0; i < REPEATS * GATEWAYS; i++) {
 			ask(i, path, CrashableServers.CRASHING);
 			ready();
 		}
-		return this.servers.sendings() - before;
+		return this.servers.copiesSent() - before;
 	}
 
 	private Answer ask(int number, String path, String body) throws IOException {
@@ -207,7 +208,7 @@
 		}
 	}
 
-	/** Backend servers that one body crashes; others start in their places. */
+	/** Backend servers that crash under one request body and are replaced. */
 	private static final class CrashableServers {
 
 		static final String CRASHING = "crashing";
@@ -218,31 +219,31 @@
 
 		private final List<ScriptedServer> all = new ArrayList<>();
 
-		private final List<String> living = new ArrayList<>();
+		private final List<String> running = new ArrayList<>();
 
-		/** Lost, and registered until others take their places. */
-		private final List<String> lapsing = new ArrayList<>();
+		/** Crashed servers that stay registered until they are replaced. */
+		private final List<String> crashed = new ArrayList<>();
 
 		private volatile boolean crashing = true;
 
-		private volatile boolean together;
+		private volatile boolean simultaneously;
 
-		private int lost;
+		private int crashes;
 
 		CrashableServers(MemoryRowStore store) {
 			this.store = store;
 		}
 
-		/** Starts servers until there are enough. */
+		/** Starts servers until {@link #COUNT} are running. */
 		synchronized void fill() {
-			forgetLost();
-			while (this.living.size() < COUNT) {
+			deregisterCrashed();
+			while (this.running.size() < COUNT) {
 				String id = "s" + this.all.size();
 				ScriptedServer[] self = new ScriptedServer[1];
 				self[0] = ScriptedServer.start((request, exchange) -> {
 					if (this.crashing && request.body().equals(CRASHING)) {
-						if (this.together) {
-							GatewayHarness.await(() -> sendings() >= COUNT);
+						if (this.simultaneously) {
+							GatewayHarness.await(() -> copiesSent() >= COUNT);
 						}
 						crash(id, self[0]);
 					}
@@ -251,41 +252,41 @@
 					}
 				});
 				this.all.add(self[0]);
-				this.living.add(id);
+				this.running.add(id);
 				this.store.put(GatewayHarness.SERVERS, id, "app " + self[0].address() + " ready");
 			}
 		}
 
-		/** From now on servers crash only once each of them has the request. */
-		void crashTogether() {
-			this.together = true;
+		/** Makes the servers crash only after each of them has received the request. */
+		void crashSimultaneously() {
+			this.simultaneously = true;
 		}
 
-		synchronized void forgetLost() {
-			this.lapsing.forEach((id) -> this.store.remove(GatewayHarness.SERVERS, id));
-			this.lapsing.clear();
+		synchronized void deregisterCrashed() {
+			this.crashed.forEach((id) -> this.store.remove(GatewayHarness.SERVERS, id));
+			this.crashed.clear();
 		}
 
-		void mend() {
+		void repair() {
 			this.crashing = false;
 		}
 
 		private synchronized void crash(String id, ScriptedServer server) {
-			this.living.remove(id);
-			this.lapsing.add(id);
-			this.lost++;
+			this.running.remove(id);
+			this.crashed.add(id);
+			this.crashes++;
 			server.close();
 		}
 
 		synchronized List<String> registered() {
-			return List.copyOf(this.living);
+			return List.copyOf(this.running);
 		}
 
-		synchronized int lost() {
-			return this.lost;
+		synchronized int crashes() {
+			return this.crashes;
 		}
 
-		synchronized int sendings() {
+		synchronized int copiesSent() {
 			return (int) this.all.stream()
 				.flatMap((server) -> server.requests().stream())
 				.filter((request) -> request.body().equals(CRASHING))
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/StartTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/StartTests.java
@@ -14,9 +14,10 @@
 
 class StartTests {
 
-	// A balancer that asked while the parts were built got an internal error.
+	// Guards against an internal error in response to readiness checks that arrive while
+	// the gateway is being constructed.
 	@RepeatedTest(5)
-	void shouldNotFailQuestionsForReadinessWhileItStarts() {
+	void shouldNotFailReadinessChecksWhileStarting() {
 		GatewaySettings settings = GatewayHarness.settings();
 		PlainCodecs codecs = new PlainCodecs();
 		AtomicBoolean started = new AtomicBoolean();
