--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/AnswerTerms.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/AnswerTerms.java
@@ -1,11 +1,13 @@
 package org.rosemaryfront.ports;
 
 /**
- * What a backend server says of an answer beside status and body.
+ * The metadata that a backend server sends in the headers of a response.
  *
- * @param requestId the call that it answers; empty when it names none
- * @param signed whether it is signed; an answer without signature is no good answer
- * @param notRun whether the server says that it did not run the call
+ * @param requestId the request that the response belongs to; empty when the server names
+ * none
+ * @param signed whether the response is signed; an unsigned response is not accepted as a
+ * success
+ * @param notRun whether the server states that it did not execute the call
  */
 public record AnswerTerms(String requestId, boolean signed, boolean notRun) {
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/CallCodec.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/CallCodec.java
@@ -3,36 +3,38 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * The headers by which callers, this process and backend servers speak of a call.
+ * Translates between HTTP headers and the metadata that callers, the gateway and backend
+ * servers exchange about a call.
  */
 public interface CallCodec {
 
 	/**
-	 * Reads what a caller says.
-	 * @param headers the headers of its request
-	 * @return the terms; what cannot be read is taken as absent
+	 * Reads the metadata of a caller's request.
+	 * @param headers the headers of the request
+	 * @return the metadata; a value that cannot be parsed is treated as absent
 	 */
 	CallTerms terms(HttpHeaders headers);
 
 	/**
-	 * Turns the caller's headers into those for a backend server: drops the caller's key
-	 * and whatever only this process may say, and says that.
+	 * Converts the caller's headers into those sent to a backend server: removes the
+	 * caller's key and all headers that only the gateway may set, then sets the gateway's
+	 * own.
 	 * @param headers a copy of the caller's headers, changed in place
-	 * @param handover what to say
+	 * @param handover the values that the gateway sets
 	 */
 	void handOver(HttpHeaders headers, Handover handover);
 
 	/**
-	 * Reads what a backend server says.
-	 * @param status the status of its answer
-	 * @param headers the headers of its answer
-	 * @return the terms
+	 * Reads the metadata of a backend server's response.
+	 * @param status the status of the response
+	 * @param headers the headers of the response
+	 * @return the metadata
 	 */
 	AnswerTerms answer(int status, HttpHeaders headers);
 
 	/**
-	 * Drops from an answer whatever is of no use to the caller.
-	 * @param headers the headers of the answer, changed in place
+	 * Removes the headers that are internal to the system from a response to a caller.
+	 * @param headers the headers of the response, changed in place
 	 */
 	void handBack(HttpHeaders headers);
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/CallTerms.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/CallTerms.java
@@ -8,21 +8,22 @@
 import org.rosemaryfront.dispatch.SharedParts;
 
 /**
- * What a caller says of its call beside method, path and body.
+ * The metadata that a caller sends in the headers of its request.
  *
- * @param requestId names the call; empty when the caller gave none
- * @param remainingMillis how long the caller will wait, in milliseconds
- * @param key the caller's key
+ * @param requestId identifies the call; empty when the caller sent no identifier
+ * @param remainingMillis how long the caller will wait for the response, in milliseconds
+ * @param key the caller's API key
  * @param prompt the prompt of a call to a model
  */
 public record CallTerms(String requestId, OptionalLong remainingMillis, Optional<String> key, Optional<Prompt> prompt) {
 
 	/**
-	 * The prompt of a call.
+	 * The size and the segments of a prompt.
 	 *
-	 * @param promptTokens the tokens of the prompt
-	 * @param answerTokens the greatest number of tokens of the answer
-	 * @param parts the parts of the prompt in order; the last is the call's own
+	 * @param promptTokens the number of tokens of the prompt
+	 * @param answerTokens the maximum number of tokens of the response
+	 * @param parts the segments of the prompt in order; the last one is specific to this
+	 * call
 	 */
 	public record Prompt(int promptTokens, int answerTokens, List<Part> parts) {
 
@@ -31,8 +32,8 @@
 		}
 
 		/**
-		 * The parts that the call shares with others: all but its own.
-		 * @return the chain of parts
+		 * Returns the prefix that other calls may share: all segments but the last.
+		 * @return the chain of segments
 		 */
 		public SharedParts shared() {
 			List<Part> shared = this.parts.subList(0, Math.max(0, this.parts.size() - 1));
@@ -40,7 +41,7 @@
 		}
 
 		/**
-		 * All parts as one word of a log line.
+		 * Returns all segments as one token of a log line.
 		 * @return identifiers with sizes, in order
 		 */
 		public String partList() {
@@ -48,8 +49,9 @@
 		}
 
 		/**
-		 * The tokens that no other call has.
-		 * @return the tokens of the call's own part
+		 * Returns the number of tokens that no other call shares.
+		 * @return the tokens of the last segment, or of the whole prompt if it has no
+		 * segments
 		 */
 		public int ownTokens() {
 			return this.parts.isEmpty() ? this.promptTokens : this.parts.getLast().tokens();
@@ -58,10 +60,10 @@
 	}
 
 	/**
-	 * A part of a prompt.
+	 * A segment of a prompt.
 	 *
-	 * @param id names the part; calls with the same name share it
-	 * @param tokens its size
+	 * @param id identifies the segment; calls that use the same identifier share it
+	 * @param tokens the number of tokens
 	 */
 	public record Part(String id, int tokens) {
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/Duties.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/Duties.java
@@ -6,25 +6,26 @@
 
 import org.rosemaryfront.duties.Size;
 
-/**
- * The calls to the platform that only one process at a time may make.
- */
+/** The platform calls that only the gateway holding the lease may make. */
 public interface Duties {
 
 	/**
-	 * Reports the use of one window; an exact repeat is harmless.
+	 * Reports the usage of one accounting window. Repeating an identical report has no
+	 * effect.
 	 * @param fence the fencing number of the lease
 	 * @param window the number of the window
-	 * @param counts the calls that began to run, by organisation
-	 * @return when the platform took it; an error of {@link StoreException}
+	 * @param counts the number of calls that started to run, by organisation
+	 * @return completes when the platform has accepted the report; fails with a
+	 * {@link StoreException}
 	 */
 	Mono<Void> reportUsage(long fence, long window, Map<String, Long> counts);
 
 	/**
-	 * Sets how many backend servers of one sort run in an availability zone.
+	 * Sets the number of backend servers of one type in an availability zone.
 	 * @param fence the fencing number of the lease
-	 * @param order the size
-	 * @return when the platform took it; an error of {@link StoreException}
+	 * @param order the service, zone and number of servers
+	 * @return completes when the platform has accepted the size; fails with a
+	 * {@link StoreException}
 	 */
 	Mono<Void> resize(long fence, Size order);
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/Handover.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/Handover.java
@@ -4,15 +4,17 @@
 import java.util.OptionalInt;
 
 /**
- * What this process says of a call to the backend server that gets it.
+ * The metadata that the gateway sends to a backend server with a call.
  *
  * @param remainingMillis how long the server may take, in milliseconds
- * @param serverId the server that is meant; another one at its address refuses the call
+ * @param serverId the server that the call is addressed to; another server at the same
+ * address refuses the call
  * @param organisation the organisation of the caller, empty where callers need no key
- * @param resumeAfter the last event that the caller has, when a stream goes on
- * @param priority the rank of the call, 0 for the most urgent; empty for the usual one
- * @param fetchFrom the address of a server that has read the shared parts of the prompt,
- * from which they are fetched in place of being read again
+ * @param resumeAfter the identifier of the last event that the caller received, when a
+ * stream is resumed
+ * @param priority the priority of the call, 0 for the most urgent; empty for the default
+ * @param fetchFrom the address of a server that has the prompt's shared segments cached;
+ * their KV cache entries are transferred from it instead of being prefilled again
  */
 public record Handover(long remainingMillis, String serverId, Optional<String> organisation,
 		Optional<String> resumeAfter, OptionalInt priority, Optional<String> fetchFrom) {
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/RecordCodec.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/RecordCodec.java
@@ -8,73 +8,77 @@
 import org.rosemaryfront.routes.TrafficConfiguration;
 
 /**
- * The rows of the table service that others than this process write.
+ * Encodes and decodes the rows of the table service that the gateway shares with the
+ * operator and the backend servers.
  */
 public interface RecordCodec {
 
 	/**
-	 * The table and the key of the configuration.
-	 * @return where it stands
+	 * Returns the table and key of the configuration row.
+	 * @return the location of the row
 	 */
 	Place configuration();
 
 	/**
-	 * The table of the backend servers.
-	 * @return its name
+	 * Returns the name of the table that holds the registrations of the backend servers.
+	 * @return the table
 	 */
 	String servers();
 
 	/**
-	 * Reads a configuration.
+	 * Decodes a configuration.
 	 * @param value the row's value
 	 * @return the configuration
-	 * @throws IllegalArgumentException when it cannot be read or names what is missing
+	 * @throws IllegalArgumentException if the value cannot be decoded or refers to
+	 * something that is not defined
 	 */
 	TrafficConfiguration configuration(byte[] value);
 
 	/**
-	 * Reads the registration of a backend server.
-	 * @param id the server, the row's key
+	 * Decodes the registration of a backend server.
+	 * @param id the identifier of the server, which is the row's key
 	 * @param value the row's value
 	 * @return the server
-	 * @throws IllegalArgumentException when it cannot be read
+	 * @throws IllegalArgumentException if the value cannot be decoded
 	 */
 	BackendServer server(String id, byte[] value);
 
 	/**
-	 * The service that a row beside the configuration orders a roll-out for.
+	 * Returns the service that a row in the table of the configuration requests a
+	 * roll-out for.
 	 * @param key the row's key, in the table of the configuration
-	 * @return the service, empty when the row is none of these
+	 * @return the service, empty if the row does not request a roll-out
 	 */
 	Optional<String> rolloutOf(String key);
 
 	/**
-	 * Reads an order for a roll-out.
+	 * Decodes a roll-out order.
 	 * @param service the service that the row is for
 	 * @param value the row's value
 	 * @param version the row's version
 	 * @return the order
-	 * @throws IllegalArgumentException when it cannot be read
+	 * @throws IllegalArgumentException if the value cannot be decoded
 	 */
 	RolloutOrder rollout(String service, byte[] value, long version);
 
 	/**
-	 * Where the state of a roll-out is written for the operator.
+	 * Returns the location of the row that reports the state of a roll-out to the
+	 * operator.
 	 * @param service the service
-	 * @return where it stands
+	 * @return the location of the row
 	 */
 	Place rolloutState(String service);
 
 	/**
-	 * Writes the state of a roll-out.
-	 * @param to the version that the service is moved to
-	 * @param phase how far it is
+	 * Encodes the state of a roll-out.
+	 * @param to the target version of the service
+	 * @param phase the current phase of the roll-out
 	 * @return the row's value
 	 */
 	byte[] rolloutState(String to, Phase phase);
 
 	/**
-	 * Where a row stands.
+	 * The location of a row.
 	 *
 	 * @param table the table
 	 * @param key the key
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/RowStore.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/RowStore.java
@@ -7,68 +7,68 @@
 import reactor.core.publisher.Mono;
 
 /**
- * The platform's table service, as far as this process needs it.
+ * The operations of the platform's table service that the gateway uses.
  *
  * <p>
- * The answer to a commit can be lost after it took effect, or it can take effect seconds
- * later while its conditions still hold; the verdict of {@link StoreException} says
- * whether that is so.
+ * The response to a commit can be lost after the commit took effect, and a commit can
+ * take effect seconds later if its conditions still hold. The verdict of
+ * {@link StoreException} states whether this is possible.
  */
 public interface RowStore {
 
 	/**
-	 * Commits writes if all conditions hold, else does nothing.
+	 * Commits the writes if all conditions hold; otherwise changes nothing.
 	 * @param commit the conditions and writes
-	 * @return committed or in conflict; an error of {@link StoreException}
+	 * @return whether the commit took effect or was in conflict; fails with a
+	 * {@link StoreException}
 	 */
 	Mono<Outcome> commit(Commit commit);
 
 	/**
-	 * Reads rows of a table in key order, as of one moment, over a connection of its own.
-	 * @param range what to read
-	 * @return the rows; an error of {@link StoreException}
+	 * Reads rows of a table in key order from one consistent snapshot, over a connection
+	 * that is not pooled.
+	 * @param range the rows to read
+	 * @return the rows; fails with a {@link StoreException}
 	 */
 	Mono<Page> read(Range range);
 
 	/**
-	 * Waits for changes of a table. A question that does not wait goes over a connection
-	 * of its own.
+	 * Waits for changes of a table. A request with a wait time of zero uses a connection
+	 * that is not pooled.
 	 * @param table the table
-	 * @param since the version after which changes are wanted
-	 * @param wait the longest time to wait
-	 * @return the changes in order, none when the time passed; an error of
+	 * @param since the version after which changes are returned
+	 * @param wait the maximum time to wait
+	 * @return the changes in order, none if the wait time elapsed; fails with a
 	 * {@link StoreException}
 	 */
 	Mono<Page> changes(String table, long since, Duration wait);
 
-	// -- values
-
 	/**
 	 * A row.
 	 *
 	 * @param key the key
-	 * @param value the value, empty for a row that was dropped
+	 * @param value the value, empty if the row was deleted
 	 * @param version the version of its last write
 	 */
 	record Row(String key, Optional<byte[]> value, long version) {
 	}
 
 	/**
-	 * What to read.
+	 * A range of keys to read.
 	 *
 	 * @param table the table
-	 * @param from the first key, empty for the first of the table
-	 * @param to the key before which to end, empty for the end of the table
+	 * @param from the first key, inclusive; empty for the start of the table
+	 * @param to the last key, exclusive; empty for the end of the table
 	 */
 	record Range(String table, String from, String to) {
 	}
 
 	/**
-	 * Rows.
+	 * A page of rows or changes.
 	 *
 	 * @param rows the rows
-	 * @param more whether rows of the range are left
-	 * @param version the newest version of the store at that moment
+	 * @param more whether the range contains further rows
+	 * @param version the newest version of the store when the page was read
 	 */
 	record Page(List<Row> rows, boolean more, long version) {
 
@@ -79,10 +79,10 @@
 	}
 
 	/**
-	 * A transaction in one table.
+	 * A transaction on one table.
 	 *
 	 * @param table the table
-	 * @param conditions what must hold
+	 * @param conditions the conditions, all of which must hold
 	 * @param writes the rows to write
 	 * @param deletes the keys of the rows to delete
 	 */
@@ -95,7 +95,7 @@
 		}
 
 		/**
-		 * A transaction that writes one row whatever stands there.
+		 * Creates a transaction that writes one row unconditionally.
 		 * @param table the table
 		 * @param key the key
 		 * @param value the value
@@ -108,16 +108,16 @@
 	}
 
 	/**
-	 * A row must have a version.
+	 * A condition that a row has the given version.
 	 *
 	 * @param key the key
-	 * @param version the version, 0 when the row must not exist
+	 * @param version the version, 0 if the row must not exist
 	 */
 	record Condition(String key, long version) {
 	}
 
 	/**
-	 * A row gets a value.
+	 * A write of one row.
 	 *
 	 * @param key the key
 	 * @param value the value
@@ -125,18 +125,18 @@
 	record Write(String key, byte[] value) {
 	}
 
-	/** What became of a transaction. */
+	/** The outcome of a transaction. */
 	sealed interface Outcome {
 
 		/**
-		 * It took effect.
+		 * The transaction took effect.
 		 *
 		 * @param version the version of the rows written
 		 */
 		record Committed(long version) implements Outcome {
 		}
 
-		/** A condition did not hold, so that nothing was written. */
+		/** A condition did not hold; nothing was written. */
 		record Conflict() implements Outcome {
 		}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/StoreException.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/StoreException.java
@@ -3,7 +3,7 @@
 import org.rosemaryfront.model.Verdict;
 
 /**
- * A call to the platform that brought no answer of use.
+ * Thrown when a call to the platform failed or returned an unusable response.
  */
 public final class StoreException extends RuntimeException {
 
@@ -20,10 +20,10 @@
 	}
 
 	/**
-	 * A failed call.
-	 * @param reason why
-	 * @param verdict whether it may have taken effect
-	 * @param message what happened
+	 * Creates an exception.
+	 * @param reason why the call failed
+	 * @param verdict whether the call may have taken effect
+	 * @param message a description of the failure
 	 * @return the exception
 	 */
 	public static StoreException of(Reason reason, Verdict verdict, String message) {
@@ -31,7 +31,7 @@
 	}
 
 	/**
-	 * Why the call failed.
+	 * Returns why the call failed.
 	 * @return the reason
 	 */
 	public Reason reason() {
@@ -39,7 +39,7 @@
 	}
 
 	/**
-	 * Whether it may have taken effect, now or later.
+	 * Returns whether the call may have taken effect or may still do so.
 	 * @return the verdict
 	 */
 	public Verdict verdict() {
@@ -49,25 +49,25 @@
 	/** Why a call failed. */
 	public enum Reason {
 
-		/** The platform took too many calls. */
+		/** The platform rejected the call because of its rate limit. */
 		BUSY,
 
-		/** The platform says that it does not work now. */
+		/** The platform reported that it is unavailable. */
 		UNAVAILABLE,
 
-		/** No answer came. */
+		/** No response was received. */
 		UNREACHABLE,
 
-		/** The changes asked for are no longer kept. */
+		/** The requested changes are no longer retained. */
 		HISTORY_LOST,
 
-		/** A newer holder of the duty acted. */
+		/** A newer lease holder has already acted. */
 		FENCED,
 
-		/** No VM of the sort is to be had now. */
+		/** No VM of the requested type is currently available. */
 		NONE_AVAILABLE,
 
-		/** The platform does not take the call as it stands. */
+		/** The platform rejected the call as invalid. */
 		REJECTED
 
 	}
