--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ConnectionPool.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ConnectionPool.java
@@ -174,8 +174,8 @@
 	}
 
 	/**
-	 * Returns the number of connections opened since the start of the gateway.
-	 * @return the count
+	 * Returns the number of connections opened since the start of the gateway, including failed
+	 * attempts.
 	 */
 	long openedCount() {
 		return this.openedCount;
