--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Call.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Call.java
@@ -29,28 +29,29 @@
 import org.rosemaryfront.traffic.CallPolicy.Ending;
 
 /**
- * One request of a caller on its way to a backend server and back. Its state belongs to
- * the traffic thread; what other threads ask of it is posted there.
+ * A request of a caller from its receipt until its response is complete. Its state is
+ * confined to the traffic thread; operations of other threads are scheduled there.
  */
-public final class Call implements AnswerListener {
+public final class Call implements ResponseListener {
 
 	/**
-	 * The body that is gathered before the call goes out, in bytes: a slow caller then
-	 * holds no place at a server, and the call can be sent again. Longer bodies are
-	 * passed on as they come.
+	 * The maximum number of bytes of a request body that are buffered before the call is
+	 * sent. Buffering keeps slow callers from occupying a slot of a server and allows the
+	 * call to be sent again. Longer bodies are streamed.
 	 */
-	private static final int GATHERED_BYTES = 262_144;
+	private static final int MAX_BUFFERED_REQUEST_BYTES = 262_144;
 
 	/**
-	 * The answer that is gathered before it goes to the caller, in bytes, unless it is a
-	 * stream: an answer that breaks off before that can be asked for again.
+	 * The maximum number of bytes of a response that are buffered before it is sent to
+	 * the caller, unless it is a stream. If a buffered response fails, the call can be
+	 * sent again.
 	 */
-	private static final int GATHERED_ANSWER_BYTES = 262_144;
+	private static final int MAX_BUFFERED_RESPONSE_BYTES = 262_144;
 
 	/**
-	 * When to come back with a call whose time passed before it was sent, in
-	 * milliseconds: soon, since what it waited for is over by then or the caller has no
-	 * time left.
+	 * The Retry-After of a call whose deadline passed before it was sent, in
+	 * milliseconds. It is short because by then the cause of the wait is over or the
+	 * caller has no time left.
 	 */
 	private static final long UNSENT_RETRY_MILLIS = 200;
 
@@ -74,59 +75,63 @@
 
 	private final Future<?> deadlineTimer;
 
-	// The request's body.
+	// Request body
 
-	private final GatheredBytes gathered = new GatheredBytes();
+	private final BodyBuffer requestBuffer = new BodyBuffer();
 
 	private long bodyBytes;
 
 	private boolean bodyComplete;
 
-	private final RequestDigest.Builder digestSoFar;
+	private final RequestDigest.Builder digestBuilder;
 
-	/** Known once the body is complete; read by any thread. */
+	/** Set when the body is complete; read by any thread. */
 	private volatile Optional<RequestDigest> digest = Optional.empty();
 
-	/** Whether parts of the body went out that are not kept. */
-	private boolean passingOn;
+	/**
+	 * Whether the body is streamed to the server, so that the call cannot be sent again.
+	 */
+	private boolean streamingRequest;
 
-	// The server and its answer.
+	// Server and response
 
 	private State state = State.GATHERING;
 
 	private Optional<BackendServer> server = Optional.empty();
 
-	private Optional<String> fetchFrom = Optional.empty();
+	private Optional<String> kvCacheSource = Optional.empty();
 
-	private ServerChannel channel;
+	private ServerConnection connection;
 
 	private int sends;
 
-	/** When its server was chosen. */
+	/** When the server was chosen. */
 	private long chosenNanos;
 
-	/** When it was sent, the last time. */
+	/** When the call was last sent. */
 	private long sentNanos;
 
-	/** How long it lay between the choice and its sending, the last time. */
+	/** The time between the choice of the server and the last send. */
 	private long sendMillis;
 
-	private Optional<HttpResponse> answer = Optional.empty();
+	private Optional<HttpResponse> response = Optional.empty();
 
-	private AnswerTerms answerTerms = new AnswerTerms("", false, false);
+	private AnswerTerms responseMetadata = new AnswerTerms("", false, false);
 
-	private final GatheredBytes answerParts = new GatheredBytes();
+	private final BodyBuffer responseBuffer = new BodyBuffer();
 
-	/** Whether a failure of the server came to its end, so that it can be passed on. */
-	private boolean failureWhole;
+	/**
+	 * Whether an error response of the server is complete, so that it can be forwarded.
+	 */
+	private boolean errorResponseComplete;
 
-	private boolean answering;
+	private boolean responseStarted;
 
-	private boolean begun;
+	private boolean runStarted;
 
-	private final AnswerTimes times = new AnswerTimes();
+	private final ResponseTimes responseTimes = new ResponseTimes();
 
-	private Optional<EventFramer> framer = Optional.empty();
+	private Optional<EventFramer> eventFramer = Optional.empty();
 
 	Call(Gateway gateway, CallerConnection caller, HttpRequest head, CallTerms terms, Route route,
 			Optional<Organisation> organisation, String service, long arrivedNanos) {
@@ -138,42 +143,43 @@
 		this.route = route;
 		this.organisation = organisation;
 		this.service = service;
-		this.digestSoFar = RequestDigest.begin(organisation.map(Organisation::name).orElse(""), head.method().name(),
-				RequestCheck.host(head), head.uri());
+		this.digestBuilder = RequestDigest.begin(organisation.map(Organisation::name).orElse(""), head.method().name(),
+				RequestValidator.host(head), head.uri());
 		long millis = Math.min(route.timeoutMillis(), terms.remainingMillis().orElse(Long.MAX_VALUE));
 		this.deadlineNanos = this.arrivedNanos + TimeUnit.MILLISECONDS.toNanos(Math.max(0, millis));
-		this.deadlineTimer = loop().schedule(this::deadline, this.deadlineNanos - System.nanoTime(),
+		this.deadlineTimer = loop().schedule(this::deadlinePassed, this.deadlineNanos - System.nanoTime(),
 				TimeUnit.NANOSECONDS);
 	}
 
-	// -- queries, from any thread
+	// -- queries, callable from any thread
 
 	/**
-	 * The name of the call.
-	 * @return the caller's name for it
+	 * Returns the identifier that the caller gave the call.
+	 * @return the identifier, empty if the caller gave none
 	 */
 	public String id() {
 		return this.terms.requestId();
 	}
 
 	/**
-	 * Names the request whoever sends it again.
-	 * @return the digest, empty while its body is not complete
+	 * Returns the digest of the request, which is equal for repetitions by any caller of
+	 * the same organisation.
+	 * @return the digest, empty while the body is not complete
 	 */
 	public Optional<RequestDigest> digest() {
 		return this.digest;
 	}
 
 	/**
-	 * What the caller says of the call.
-	 * @return the terms
+	 * Returns the metadata that the caller sent.
+	 * @return the metadata
 	 */
 	public CallTerms terms() {
 		return this.terms;
 	}
 
 	/**
-	 * The route that was in force when the call came.
+	 * Returns the route that was in force when the call was received.
 	 * @return the route
 	 */
 	public Route route() {
@@ -181,7 +187,7 @@
 	}
 
 	/**
-	 * Whose call it is.
+	 * Returns the organisation of the caller.
 	 * @return the organisation, empty where callers need no key
 	 */
 	public Optional<Organisation> organisation() {
@@ -189,7 +195,7 @@
 	}
 
 	/**
-	 * The service that was drawn for it.
+	 * Returns the service that was selected by the weights of the route.
 	 * @return the name
 	 */
 	public String service() {
@@ -197,7 +203,7 @@
 	}
 
 	/**
-	 * When it came.
+	 * Returns when the call was received.
 	 * @return the time on the monotonic clock, in nanoseconds
 	 */
 	public long arrivedNanos() {
@@ -205,17 +211,17 @@
 	}
 
 	/**
-	 * How long it may still take.
-	 * @param nowNanos the time
-	 * @return the time left, in milliseconds; 0 when it is over
+	 * Returns the time until the deadline.
+	 * @param nowNanos the current time
+	 * @return the time left, in milliseconds; 0 if the deadline has passed
 	 */
 	public long remainingMillis(long nowNanos) {
 		return Math.max(0, TimeUnit.NANOSECONDS.toMillis(this.deadlineNanos - nowNanos));
 	}
 
 	/**
-	 * Its rank: the organisation's, else the route's.
-	 * @return 0 for the most urgent
+	 * Returns the priority of the organisation or, if it has none, that of the route.
+	 * @return the priority, 0 for the most urgent
 	 */
 	public int priority() {
 		return this.organisation.map(Organisation::priority)
@@ -225,66 +231,72 @@
 	}
 
 	/**
-	 * Whether the call can go out again as it came.
-	 * @return false once parts of it are no longer kept
+	 * Returns whether the call can be sent again unchanged.
+	 * @return false once the request body was streamed or a response that cannot be
+	 * resumed has started
 	 */
 	public boolean isRepeatable() {
-		return !this.passingOn && (!this.answering || this.framer.isPresent());
+		return !this.streamingRequest && (!this.responseStarted || this.eventFramer.isPresent());
 	}
 
 	/**
-	 * The servers that had it.
+	 * Returns how often the call was sent to a server.
 	 * @return the count
 	 */
 	public int sends() {
 		return this.sends;
 	}
 
-	// -- decisions, from any thread
+	// -- decisions, callable from any thread
 
 	/**
 	 * Sends the call to a server.
 	 * @param to the server
-	 * @param mostConnections the connections that this process may have to it
-	 * @param cacheOf the address of a server whose cache it may fetch from
+	 * @param maxConnections the maximum number of connections of this gateway to the
+	 * server
+	 * @param cacheSource the address of a server from which KV cache entries may be
+	 * transferred
 	 */
-	public void send(BackendServer to, int mostConnections, Optional<String> cacheOf) {
+	public void send(BackendServer to, int maxConnections, Optional<String> cacheSource) {
 		long chosen = System.nanoTime();
 		loop().execute(() -> {
 			this.chosenNanos = chosen;
-			this.fetchFrom = cacheOf;
-			connect(to, mostConnections);
+			this.kvCacheSource = cacheSource;
+			connect(to, maxConnections);
 		});
 	}
 
 	/**
-	 * Refuses a call that did not run and never will.
+	 * Refuses a call that was not executed and will not be.
 	 * @param status the HTTP status, 429 or 503
-	 * @param retryAfterMillis when coming back can help, in milliseconds
-	 * @param refusal why
+	 * @param retryAfterMillis the earliest useful time for a retry, in milliseconds from
+	 * now
+	 * @param refusal the reason
 	 */
 	public void refuse(int status, long retryAfterMillis, Refusal refusal) {
 		loop().execute(() -> refuseNow(status, retryAfterMillis, refusal));
 	}
 
 	/**
-	 * Ends a call whose server failed it, with the server's own answer if there is one.
-	 * @param refusal why it is not sent again
+	 * Ends a call that failed at its server, with the server's error response if it is
+	 * complete.
+	 * @param refusal why the call is not sent again
 	 */
 	public void giveUp(Refusal refusal) {
 		loop().execute(() -> giveUpNow(refusal));
 	}
 
 	/**
-	 * Ends a call wherever it is, whose request is held back from now on: servers crash
-	 * under it.
-	 * @param ran whether a server before this one may have run it
-	 * @param retryAfterMillis when coming back can help, in milliseconds
-	 * @param refusal why
+	 * Ends a call in any state because its request was quarantined after causing server
+	 * crashes.
+	 * @param ran whether an earlier server may have executed it
+	 * @param retryAfterMillis the earliest useful time for a retry, in milliseconds from
+	 * now
+	 * @param refusal the reason
 	 */
 	public void withdraw(boolean ran, long retryAfterMillis, Refusal refusal) {
 		loop().execute(() -> {
-			if (ran || this.begun || this.state == State.SENT) {
+			if (ran || this.runStarted || this.state == State.SENT) {
 				giveUpNow(refusal);
 			}
 			else {
@@ -294,83 +306,88 @@
 	}
 
 	/**
-	 * The server that has the call lost it with all that it held.
-	 * @param lost the start of the server
+	 * Fails the current attempt if its server has restarted and thus lost the call.
+	 * @param lostStart the start of the server that is over
 	 */
-	public void serverGone(BackendServer.Start lost) {
+	public void serverGone(BackendServer.Start lostStart) {
 		loop().execute(() -> {
-			boolean waits = this.state == State.SENT && this.server.map(BackendServer::start).equals(Optional.of(lost));
-			if (waits) {
-				abortAnswer("its server started again");
+			boolean affected = this.state == State.SENT
+					&& this.server.map(BackendServer::start).equals(Optional.of(lostStart));
+			if (affected) {
+				abortResponse("the server restarted");
 			}
 		});
 	}
 
-	// -- the request
+	// -- request
 
 	/**
-	 * Takes a piece of the request's body.
-	 * @param bytes the bytes; released here
+	 * Receives a chunk of the request body.
+	 * @param bytes the bytes; released by this method
 	 */
 	void bodyBytes(ByteBuf bytes) {
 		this.bodyBytes += bytes.readableBytes();
-		for (ByteBuffer part : bytes.nioBuffers()) {
-			this.digestSoFar.body(part);
+		for (ByteBuffer chunk : bytes.nioBuffers()) {
+			this.digestBuilder.body(chunk);
 		}
 		if (this.state == State.DONE) {
 			bytes.release();
 		}
-		else if (this.passingOn) {
-			this.channel.write(new DefaultHttpContent(bytes));
-			this.channel.flush();
-			this.caller.reading(this.channel.isWritable());
+		else if (this.streamingRequest) {
+			this.connection.write(new DefaultHttpContent(bytes));
+			this.connection.flush();
+			this.caller.setReading(this.connection.isWritable());
 		}
 		else {
-			this.gathered.add(bytes);
-			if (this.state == State.GATHERING && this.bodyBytes >= GATHERED_BYTES) {
-				this.caller.reading(false);
+			this.requestBuffer.add(bytes);
+			if (this.state == State.GATHERING && this.bodyBytes >= MAX_BUFFERED_REQUEST_BYTES) {
+				this.caller.setReading(false);
 				admit();
 			}
 		}
 	}
 
-	/** The request is complete. */
+	/** Called when the request is complete. */
 	void bodyComplete() {
 		this.bodyComplete = true;
-		this.digest = Optional.of(this.digestSoFar.end());
-		if (this.passingOn && this.state == State.SENT) {
-			endPassingOn();
+		this.digest = Optional.of(this.digestBuilder.end());
+		if (this.streamingRequest && this.state == State.SENT) {
+			endRequestStream();
 		}
 		else if (this.state == State.GATHERING) {
 			admit();
 		}
 	}
 
-	// What the request is shows at its end only. Without its end no server begins to run
-	// it; one that answers before it has read all of it may have.
-	private void endPassingOn() {
+	// Whether the request is quarantined is known only with its digest at the end of the body.
+	// A server does not execute the request before that, but one that responds before it has
+	// read the whole body may have executed it.
+	private void endRequestStream() {
 		if (this.gateway.policy().isHeldBack(this)) {
-			abortAnswer("held back");
+			abortResponse("the request is quarantined");
 		}
 		else {
-			this.channel.write(new DefaultLastHttpContent());
+			this.connection.write(new DefaultLastHttpContent());
 		}
 	}
 
-	long received() {
+	long receivedBytes() {
 		return this.bodyBytes;
 	}
 
-	boolean isOver() {
+	boolean isEnded() {
 		return this.state == State.DONE;
 	}
 
-	boolean isReceived() {
+	boolean isRequestComplete() {
 		return this.bodyComplete;
 	}
 
-	/** The caller left: nothing it asked for is of use any more. */
-	void callerLeft() {
+	/**
+	 * Ends the call because its caller disconnected or sent an invalid body, so that the
+	 * result is no longer of use.
+	 */
+	void callerDisconnected() {
 		if (this.state == State.DONE) {
 			return;
 		}
@@ -378,10 +395,10 @@
 		finish();
 	}
 
-	/** The caller takes more bytes. */
+	/** Called when the caller's connection accepts more bytes. */
 	void callerWritable() {
 		if (this.state == State.SENT) {
-			this.channel.reading(true);
+			this.connection.setReading(true);
 		}
 	}
 
@@ -390,253 +407,255 @@
 		this.gateway.policy().admit(this);
 	}
 
-	// -- the server
+	// -- server
 
-	private void connect(BackendServer to, int mostConnections) {
+	private void connect(BackendServer to, int maxConnections) {
 		if (this.state == State.DONE) {
 			this.gateway.policy().ended(this, to, Ending.ABANDONED);
 			return;
 		}
 		this.server = Optional.of(to);
 		this.state = State.CONNECTING;
-		this.gateway.pool().acquire(to, mostConnections, this::connected, this::notConnected);
+		this.gateway.pool().acquire(to, maxConnections, this::connected, this::connectFailed);
 	}
 
-	private void notConnected(String cause) {
+	private void connectFailed(String cause) {
 		if (this.state == State.DONE) {
 			return;
 		}
-		failed(Verdict.notRun(), false, false, cause);
+		attemptFailed(Verdict.notRun(), false, false, cause);
 	}
 
-	private void connected(ServerChannel to) {
+	private void connected(ServerConnection to) {
 		if (this.state == State.DONE) {
-			to.rest();
+			to.release();
 			return;
 		}
 		if (!to.isActive()) {
-			notConnected("closed before the call");
+			connectFailed("the connection was closed before the call was sent");
 			return;
 		}
 		if (this.gateway.policy().isHeldBack(this)) {
-			to.rest();
-			notConnected("held back");
+			to.release();
+			connectFailed("the request is quarantined");
 			return;
 		}
 		if (!this.gateway.policy().takesCalls(this.server.orElseThrow())) {
-			to.rest();
-			notConnected("the server leaves");
+			to.release();
+			connectFailed("the server is draining");
 			return;
 		}
-		if (this.caller.hasLeft()) {
-			to.rest();
-			callerLeft();
+		if (this.caller.isDisconnected()) {
+			to.release();
+			callerDisconnected();
 			return;
 		}
-		this.channel = to;
+		this.connection = to;
 		this.state = State.SENT;
 		this.sends++;
 		this.sentNanos = System.nanoTime();
 		this.sendMillis = TimeUnit.NANOSECONDS.toMillis(this.sentNanos - this.chosenNanos);
-		forgetFailure();
-		to.begin(id(), this);
-		to.write(outgoing());
-		this.gathered.copies().forEach((part) -> to.write(new DefaultHttpContent(part)));
+		clearErrorResponse();
+		to.startCall(id(), this);
+		to.write(serverRequest());
+		this.requestBuffer.duplicates().forEach((chunk) -> to.write(new DefaultHttpContent(chunk)));
 		if (this.bodyComplete) {
 			to.write(new DefaultLastHttpContent());
 		}
 		else {
-			this.passingOn = true;
-			this.gathered.release();
+			this.streamingRequest = true;
+			this.requestBuffer.release();
 			to.flush();
-			this.caller.reading(true);
+			this.caller.setReading(true);
 		}
 	}
 
-	private void forgetFailure() {
-		this.failureWhole = false;
-		this.answerParts.release();
-		if (!this.answering) {
-			this.answer = Optional.empty();
+	private void clearErrorResponse() {
+		this.errorResponseComplete = false;
+		this.responseBuffer.release();
+		if (!this.responseStarted) {
+			this.response = Optional.empty();
 		}
 	}
 
-	private HttpRequest outgoing() {
-		long left = Math.max(1, remainingMillis(System.nanoTime()));
-		Handover handover = new Handover(left, serverId(), this.organisation.map(Organisation::name),
-				this.framer.flatMap(EventFramer::lastId), OptionalInt.of(priority()), this.fetchFrom);
+	private HttpRequest serverRequest() {
+		long remaining = Math.max(1, remainingMillis(System.nanoTime()));
+		Handover handover = new Handover(remaining, serverId(), this.organisation.map(Organisation::name),
+				this.eventFramer.flatMap(EventFramer::lastId), OptionalInt.of(priority()), this.kvCacheSource);
 		OptionalLong length = this.bodyComplete ? OptionalLong.of(this.bodyBytes) : OptionalLong.empty();
 		return ServerRequest.of(this.head, length, this.gateway.codec(), handover);
 	}
 
-	// -- the answer
+	// -- response
 
 	@Override
-	public void answerHead(HttpResponse answerHead, AnswerTerms from) {
-		if (this.answering) {
-			resumed(answerHead, from);
+	public void responseHead(HttpResponse responseHead, AnswerTerms from) {
+		if (this.responseStarted) {
+			resumedResponseHead(responseHead, from);
 			return;
 		}
-		this.answer = Optional.of(answerHead);
-		this.answerTerms = from;
-		boolean success = answerHead.status().codeClass() == HttpStatusClass.SUCCESS;
+		this.response = Optional.of(responseHead);
+		this.responseMetadata = from;
+		boolean success = responseHead.status().codeClass() == HttpStatusClass.SUCCESS;
 		if (success && !from.signed()) {
-			abortAnswer("a success without signature");
+			abortResponse("the server sent a success response without a signature");
 			return;
 		}
 		if (this.route.kind() == CallKind.STREAMING && success) {
-			startAnswer();
+			startResponse();
 			if (this.route.resumable()) {
-				this.framer = Optional.of(new EventFramer(this.caller.allocator()));
+				this.eventFramer = Optional.of(new EventFramer(this.caller.allocator()));
 			}
 		}
 		else if (!from.notRun()) {
-			markBegun();
+			markRunStarted();
 		}
 	}
 
-	private void resumed(HttpResponse answerHead, AnswerTerms from) {
-		boolean success = answerHead.status().codeClass() == HttpStatusClass.SUCCESS && from.signed();
+	private void resumedResponseHead(HttpResponse responseHead, AnswerTerms from) {
+		boolean success = responseHead.status().codeClass() == HttpStatusClass.SUCCESS && from.signed();
 		if (!success) {
-			abortAnswer("a resumed stream was answered " + answerHead.status().code());
+			abortResponse("a resumed stream failed with status " + responseHead.status().code());
 			return;
 		}
 		EventLog.info(TrafficEvents.STREAM_RESUMED, "request", id(), "server", serverId(), "after",
-				this.framer.flatMap(EventFramer::lastId).orElse("none"));
+				this.eventFramer.flatMap(EventFramer::lastId).orElse("none"));
 	}
 
 	@Override
-	public void answerBytes(ByteBuf bytes) {
+	public void responseBytes(ByteBuf bytes) {
 		if (this.state == State.DONE) {
 			bytes.release();
 		}
-		else if (this.answering) {
-			markBegun();
-			this.times.bytes(System.nanoTime());
-			ByteBuf whole = this.framer.map((cut) -> cut.add(bytes)).orElse(bytes);
-			if (!this.caller.write(whole)) {
-				this.channel.reading(false);
+		else if (this.responseStarted) {
+			markRunStarted();
+			this.responseTimes.chunkReceived(System.nanoTime());
+			ByteBuf forwarded = this.eventFramer.map((framer) -> framer.add(bytes)).orElse(bytes);
+			if (!this.caller.write(forwarded)) {
+				this.connection.setReading(false);
 			}
 		}
 		else {
-			this.answerParts.add(bytes);
-			if (this.answerParts.size() > GATHERED_ANSWER_BYTES && isFinal()) {
-				startAnswer();
-				flushGatheredAnswer();
+			this.responseBuffer.add(bytes);
+			if (this.responseBuffer.size() > MAX_BUFFERED_RESPONSE_BYTES && isFinalResponse()) {
+				startResponse();
+				forwardBufferedResponse();
 			}
 		}
 	}
 
 	@Override
-	public void answerPause() {
-		if (this.answering && this.state == State.SENT) {
+	public void responseReadComplete() {
+		if (this.responseStarted && this.state == State.SENT) {
 			this.caller.flush();
 		}
 	}
 
 	@Override
-	public void answerComplete() {
+	public void responseComplete() {
 		BackendServer from = this.server.orElseThrow();
-		if (this.answering) {
-			this.framer.ifPresent((cut) -> this.caller.write(cut.rest()));
-			answered(from);
+		if (this.responseStarted) {
+			this.eventFramer.ifPresent((framer) -> this.caller.write(framer.takeRemaining()));
+			responded(from);
 			return;
 		}
-		if (!isFinal()) {
-			this.failureWhole = true;
-			failed(this.answerTerms.notRun() ? Verdict.notRun() : Verdict.ran(), true, true, "status " + statusCode());
+		if (!isFinalResponse()) {
+			this.errorResponseComplete = true;
+			attemptFailed(this.responseMetadata.notRun() ? Verdict.notRun() : Verdict.ran(), true, true,
+					"status " + statusCode());
 			return;
 		}
-		startAnswer();
-		flushGatheredAnswer();
-		answered(from);
+		startResponse();
+		forwardBufferedResponse();
+		responded(from);
 	}
 
 	@Override
-	public void answerBroken(String cause) {
+	public void responseFailed(String cause) {
 		if (this.state != State.DONE) {
-			failed(Verdict.mayHaveRun(), true, false, cause);
+			attemptFailed(Verdict.mayHaveRun(), true, false, cause);
 		}
 	}
 
 	@Override
 	public void requestWritable() {
-		this.caller.reading(true);
+		this.caller.setReading(true);
 	}
 
-	// Whether the answer goes to the caller whatever the policy says: a success, or a
-	// failure that another server would give as well.
-	private boolean isFinal() {
-		HttpStatusClass status = this.answer.orElseThrow().status().codeClass();
-		boolean serverFault = status == HttpStatusClass.SERVER_ERROR || this.answerTerms.notRun();
+	// Whether the response is forwarded without asking the policy: a success, or an error
+	// that any other server would return as well.
+	private boolean isFinalResponse() {
+		HttpStatusClass status = this.response.orElseThrow().status().codeClass();
+		boolean serverFault = status == HttpStatusClass.SERVER_ERROR || this.responseMetadata.notRun();
 		return !serverFault;
 	}
 
-	private void startAnswer() {
-		this.answering = true;
-		this.caller.startAnswer(this.answer.orElseThrow(), this.head.method().equals(HttpMethod.HEAD));
+	private void startResponse() {
+		this.responseStarted = true;
+		this.caller.startResponse(this.response.orElseThrow(), this.head.method().equals(HttpMethod.HEAD));
 	}
 
-	private void flushGatheredAnswer() {
-		this.answerParts.takeAll().forEach(this.caller::write);
+	private void forwardBufferedResponse() {
+		this.responseBuffer.takeAll().forEach(this.caller::write);
 	}
 
-	private void answered(BackendServer from) {
+	private void responded(BackendServer from) {
 		EventLog.info(TrafficEvents.CALL_ANSWERED, "request", id(), "route", this.route.name(), "status", statusCode(),
 				"server", from.id(), "sends", this.sends, "sendMillis", this.sendMillis, "millis", ageMillis(),
-				"firstMillis", this.times.firstMillis(this.arrivedNanos), "longestPauseMillis",
-				this.times.longestPauseMillis());
+				"firstMillis", this.responseTimes.firstChunkMillis(this.arrivedNanos), "longestPauseMillis",
+				this.responseTimes.longestGapMillis());
 		this.gateway.metrics().answered(this, statusCode());
 		this.server = Optional.empty();
 		this.gateway.policy().ended(this, from, Ending.ANSWERED);
-		this.caller.endAnswer();
+		this.caller.endResponse();
 		finish();
 	}
 
-	private void abortAnswer(String cause) {
-		this.channel.abort();
-		failed(Verdict.mayHaveRun(), true, false, cause);
+	private void abortResponse(String cause) {
+		this.connection.abort();
+		attemptFailed(Verdict.mayHaveRun(), true, false, cause);
 	}
 
-	private void markBegun() {
-		if (!this.begun) {
-			this.begun = true;
+	private void markRunStarted() {
+		if (!this.runStarted) {
+			this.runStarted = true;
 			this.gateway.metrics().began(this);
 			this.gateway.policy().began(this);
 		}
 	}
 
-	// -- ends
+	// -- end of the call
 
-	private void failed(Verdict verdict, boolean sent, boolean answered, String cause) {
-		BackendServer by = this.server.orElseThrow();
+	private void attemptFailed(Verdict verdict, boolean sent, boolean responded, String cause) {
+		BackendServer failedServer = this.server.orElseThrow();
 		this.server = Optional.empty();
-		this.framer.ifPresent(EventFramer::dropHalf);
+		this.eventFramer.ifPresent(EventFramer::discardIncomplete);
 		this.state = State.DECIDING;
-		EventLog.info(TrafficEvents.CALL_FAILED, "request", id(), "digest", digestText(), "server", by.id(), "started",
-				by.startedMillis(), "verdict", verdict.code(), "cause", cause, "answering", this.answering,
-				"sendMillis", this.sendMillis, "millis", ageMillis());
+		EventLog.info(TrafficEvents.CALL_FAILED, "request", id(), "digest", digestText(), "server", failedServer.id(),
+				"started", failedServer.startedMillis(), "verdict", verdict.code(), "cause", cause, "answering",
+				this.responseStarted, "sendMillis", this.sendMillis, "millis", ageMillis());
 		if (verdict instanceof Verdict.MayHaveRun) {
-			// The server may have begun it: the use of its organisation is not lost.
-			markBegun();
+			// The server may have started the call, so it is counted as usage of its
+			// organisation.
+			markRunStarted();
 		}
-		this.gateway.policy().failed(this, by, new CallPolicy.Failure(verdict, sent, answered, cause));
+		this.gateway.policy().failed(this, failedServer, new CallPolicy.Failure(verdict, sent, responded, cause));
 	}
 
 	private void refuseNow(int status, long retryAfterMillis, Refusal refusal) {
 		if (this.state == State.DONE) {
 			return;
 		}
-		if (this.answering) {
+		if (this.responseStarted) {
 			giveUpNow(refusal);
 			return;
 		}
-		noteRefused(status, refusal, retryAfterMillis);
+		logRefusal(status, refusal, retryAfterMillis);
 		this.caller.refuse(status, retryAfterMillis);
 		finish();
 	}
 
-	private void noteRefused(int status, Refusal refusal, long retryAfterMillis) {
+	private void logRefusal(int status, Refusal refusal, long retryAfterMillis) {
 		EventLog.info(TrafficEvents.CALL_REFUSED, "request", id(), "digest", digestText(), "route", this.route.name(),
 				"organisation", organisationName(), "status", status, "reason", refusal.cause(), "detail",
 				refusal.detail(), "retryAfterMillis", retryAfterMillis, "state", this.state, "targetMillis",
@@ -648,62 +667,63 @@
 		if (this.state == State.DONE) {
 			return;
 		}
-		if (this.answering) {
+		if (this.responseStarted) {
 			EventLog.warn(TrafficEvents.ANSWER_BROKEN, "request", id(), "reason", refusal.cause(), "detail",
 					refusal.detail(), "millis", ageMillis());
 			this.gateway.metrics().broken();
 			this.caller.abort();
 		}
-		else if (this.failureWhole && !this.answerTerms.notRun()) {
-			startAnswer();
-			flushGatheredAnswer();
-			noteGivenUp(statusCode(), refusal);
-			this.caller.endAnswer();
+		else if (this.errorResponseComplete && !this.responseMetadata.notRun()) {
+			startResponse();
+			forwardBufferedResponse();
+			logGivenUp(statusCode(), refusal);
+			this.caller.endResponse();
 		}
 		else {
-			noteGivenUp(502, refusal);
+			logGivenUp(502, refusal);
 			this.caller.refuse(502, 0);
 		}
 		finish();
 	}
 
-	private void noteGivenUp(int status, Refusal refusal) {
+	private void logGivenUp(int status, Refusal refusal) {
 		EventLog.info(TrafficEvents.CALL_ANSWERED, "request", id(), "route", this.route.name(), "status", status,
 				"reason", refusal.cause(), "detail", refusal.detail(), "sends", this.sends, "millis", ageMillis());
 		this.gateway.metrics().answered(this, status);
 	}
 
-	private void deadline() {
+	private void deadlinePassed() {
 		if (this.state == State.DONE) {
 			return;
 		}
-		if (this.answering) {
+		if (this.responseStarted) {
 			giveUpNow(Refusal.DEADLINE);
 			return;
 		}
-		boolean mayHaveRun = this.state == State.SENT || this.begun;
+		boolean mayHaveRun = this.state == State.SENT || this.runStarted;
 		int status = mayHaveRun ? 504 : 503;
 		long retryAfterMillis = mayHaveRun ? 0 : UNSENT_RETRY_MILLIS;
-		noteRefused(status, Refusal.DEADLINE, retryAfterMillis);
+		logRefusal(status, Refusal.DEADLINE, retryAfterMillis);
 		this.caller.refuse(status, retryAfterMillis);
 		if (this.state == State.SENT) {
-			this.server.ifPresent((silent) -> this.gateway.pool().unanswered(silent.start(), this.sentNanos));
+			this.server
+				.ifPresent((unresponsive) -> this.gateway.pool().deadlinePassed(unresponsive.start(), this.sentNanos));
 		}
 		finish((this.state == State.SENT) ? Ending.UNANSWERED : Ending.ABANDONED);
 	}
 
-	// Ends the call wherever it is; the connection to the server goes with a run that is
-	// under way, which tells the server to stop.
+	// Ends the call in any state. If a server is executing it, its connection is closed,
+	// which makes the server stop.
 	private void finish() {
 		finish(Ending.ABANDONED);
 	}
 
 	private void finish(Ending ending) {
-		State was = this.state;
+		State previous = this.state;
 		this.state = State.DONE;
 		this.deadlineTimer.cancel(false);
-		if (was == State.SENT && this.server.isPresent()) {
-			this.channel.abort();
+		if (previous == State.SENT && this.server.isPresent()) {
+			this.connection.abort();
 		}
 		if (this.server.isPresent()) {
 			this.gateway.policy().ended(this, this.server.get(), ending);
@@ -711,11 +731,11 @@
 		else {
 			this.gateway.policy().dropped(this);
 		}
-		this.gathered.release();
-		this.answerParts.release();
-		this.framer.ifPresent(EventFramer::release);
-		this.framer = Optional.empty();
-		this.caller.callOver(this);
+		this.requestBuffer.release();
+		this.responseBuffer.release();
+		this.eventFramer.ifPresent(EventFramer::release);
+		this.eventFramer = Optional.empty();
+		this.caller.callEnded(this);
 	}
 
 	private EventLoop loop() {
@@ -735,29 +755,29 @@
 	}
 
 	private int statusCode() {
-		return this.answer.map((given) -> given.status().code()).orElse(0);
+		return this.response.map((given) -> given.status().code()).orElse(0);
 	}
 
 	private long ageMillis() {
 		return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.arrivedNanos);
 	}
 
-	/** How far a call is. */
+	/** The state of a call. */
 	private enum State {
 
-		/** Its body comes in. */
+		/** The request body is being received. */
 		GATHERING,
 
-		/** The policy is asked. */
+		/** The policy is choosing what to do. */
 		DECIDING,
 
-		/** A connection is being made; nothing was sent. */
+		/** A connection is being acquired; nothing was sent. */
 		CONNECTING,
 
-		/** It was sent. */
+		/** The request was sent or is being sent. */
 		SENT,
 
-		/** It is over. */
+		/** The call has ended. */
 		DONE
 
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/CallerConnection.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/CallerConnection.java
@@ -36,65 +36,75 @@
 import org.rosemaryfront.routes.TrafficConfiguration;
 
 /**
- * One connection of a caller, with one call at a time; requests sent ahead wait.
+ * A connection of a caller, which processes one call at a time. Pipelined requests are
+ * queued.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
 
 	/**
-	 * The parts of requests sent ahead that are held, before reading stops. Reading goes
-	 * on while a call runs, since only that shows that the caller left.
+	 * The number of queued messages of pipelined requests above which reading stops.
+	 * Reading continues while a call runs, because only a read detects that the caller
+	 * disconnected.
 	 */
-	private static final int HELD_PARTS = 64;
+	private static final int MAX_QUEUED_MESSAGES = 64;
 
 	/**
-	 * How long a new connection may wait for its first request while the process stops,
-	 * in milliseconds: a round trip, and what a busy caller takes to write.
+	 * How long a new connection may wait for its first request while the gateway stops,
+	 * in milliseconds: one round trip plus the time that a busy caller takes to write.
 	 */
-	private static final long NEW_MILLIS = 200;
+	private static final long FIRST_REQUEST_MILLIS = 200;
 
-	/** How long the rest of a request is read behind the last answer, in milliseconds. */
+	/**
+	 * How long unread request bytes are still received after the last response, in
+	 * milliseconds.
+	 */
 	private static final long LINGER_MILLIS = 300;
 
-	/** When to come back to another process, in milliseconds. */
-	private static final long STOPPING_MILLIS = 50;
+	/**
+	 * The Retry-After while this gateway stops, in milliseconds; a retry reaches another
+	 * gateway.
+	 */
+	private static final long STOPPING_RETRY_MILLIS = 50;
 
-	/** When to come back while no configuration is known, in milliseconds. */
-	private static final long NOT_READY_MILLIS = 300;
+	/**
+	 * The Retry-After before the first configuration was received, in milliseconds.
+	 */
+	private static final long NOT_READY_RETRY_MILLIS = 300;
 
 	private final Gateway gateway;
 
-	private final Deque<Held> held = new ArrayDeque<>();
+	private final Deque<QueuedMessage> queue = new ArrayDeque<>();
 
 	private Channel channel;
 
 	private Optional<Call> call = Optional.empty();
 
-	/** Whether the rest of a refused request is read and dropped. */
-	private boolean dropping;
+	/** Whether the rest of a refused request is being read and discarded. */
+	private boolean discarding;
 
-	private boolean closeAfterAnswer;
+	private boolean closeAfterResponse;
 
-	private boolean oldProtocol;
+	private boolean http10;
 
-	private boolean answerWithoutBody;
+	private boolean bodilessResponse;
 
 	private boolean closed;
 
-	/** When the last answer ended, or the connection was made. */
-	private long quietSinceNanos = System.nanoTime();
+	/** When the last response ended or the connection was made. */
+	private long idleSinceNanos = System.nanoTime();
 
-	/** Whether bytes of a request came of which the head is not complete. */
-	private boolean headUnderWay;
+	/** Whether an incomplete request head is being received. */
+	private boolean receivingHead;
 
 	private long headSinceNanos;
 
-	private long lastPartNanos = System.nanoTime();
+	private long lastMessageNanos = System.nanoTime();
 
 	CallerConnection(Gateway gateway) {
 		this.gateway = gateway;
 	}
 
-	// -- the caller's side
+	// -- requests
 
 	@Override
 	public void handlerAdded(ChannelHandlerContext context) {
@@ -104,30 +114,30 @@
 
 	@Override
 	public void channelRead(ChannelHandlerContext context, Object message) {
-		this.lastPartNanos = System.nanoTime();
+		this.lastMessageNanos = System.nanoTime();
 		if (this.closed) {
 			ReferenceCountUtil.release(message);
 			return;
 		}
-		boolean ahead = this.call.map(Call::isReceived).orElse(false);
-		if (ahead || !this.held.isEmpty()) {
-			this.held.add(new Held(message, System.nanoTime()));
-			if (this.held.size() > HELD_PARTS) {
-				reading(false);
+		boolean pipelined = this.call.map(Call::isRequestComplete).orElse(false);
+		if (pipelined || !this.queue.isEmpty()) {
+			this.queue.add(new QueuedMessage(message, System.nanoTime()));
+			if (this.queue.size() > MAX_QUEUED_MESSAGES) {
+				setReading(false);
 			}
 			return;
 		}
-		take(message, System.nanoTime());
+		process(message, System.nanoTime());
 	}
 
-	private void take(Object message, long arrivedNanos) {
+	private void process(Object message, long arrivedNanos) {
 		try {
 			if (message instanceof HttpRequest head) {
-				this.headUnderWay = false;
-				request(head, arrivedNanos);
+				this.receivingHead = false;
+				requestHead(head, arrivedNanos);
 			}
 			if (message instanceof HttpContent content) {
-				body(content);
+				requestBody(content);
 			}
 		}
 		finally {
@@ -135,40 +145,42 @@
 		}
 	}
 
-	private void request(HttpRequest head, long arrivedNanos) {
-		this.dropping = false;
-		this.oldProtocol = head.protocolVersion().equals(HttpVersion.HTTP_1_0);
-		this.closeAfterAnswer = !HttpUtil.isKeepAlive(head);
+	private void requestHead(HttpRequest head, long arrivedNanos) {
+		this.discarding = false;
+		this.http10 = head.protocolVersion().equals(HttpVersion.HTTP_1_0);
+		this.closeAfterResponse = !HttpUtil.isKeepAlive(head);
 		Optional<TrafficConfiguration> configuration = this.gateway.policy().configuration();
-		Optional<RequestCheck.Fault> fault = RequestCheck.check(head, this.gateway.limits());
+		Optional<RequestValidator.Fault> fault = RequestValidator.validate(head, this.gateway.limits());
 		if (fault.isPresent()) {
-			this.closeAfterAnswer = true;
-			refuseHead("", fault.get().status(), 0, fault.get().reason());
+			this.closeAfterResponse = true;
+			refuseRequest("", fault.get().status(), 0, fault.get().reason());
 			return;
 		}
 		CallTerms terms = this.gateway.codec().terms(head.headers());
 		if (configuration.isEmpty()) {
-			refuseHead(terms.requestId(), 503, NOT_READY_MILLIS, "no configuration is known");
+			refuseRequest(terms.requestId(), 503, NOT_READY_RETRY_MILLIS, "no configuration has been received");
 			return;
 		}
 		route(head, terms, configuration.get(), arrivedNanos);
 	}
 
 	private void route(HttpRequest head, CallTerms terms, TrafficConfiguration configuration, long arrivedNanos) {
-		String path = RequestCheck.path(head.uri());
-		Optional<Route> route = configuration.route(RequestCheck.host(head), path);
+		String path = RequestValidator.path(head.uri());
+		Optional<Route> route = configuration.route(RequestValidator.host(head), path);
 		if (!this.gateway.policy().accepting(route)) {
-			// The balancer still sends callers here when most processes of the zone stop.
-			refuseHead(terms.requestId(), 503, STOPPING_MILLIS, "the process stops");
+			// The load balancer still routes callers here when most gateways of the zone
+			// are stopping.
+			refuseRequest(terms.requestId(), 503, STOPPING_RETRY_MILLIS, "the gateway is stopping");
 			return;
 		}
 		if (route.isEmpty()) {
-			refuseHead(terms.requestId(), 404, 0, "no route in version " + configuration.version());
+			refuseRequest(terms.requestId(), 404, 0,
+					"no matching route in configuration version " + configuration.version());
 			return;
 		}
 		Optional<Organisation> organisation = terms.key().flatMap(configuration::organisation);
 		if (!configuration.organisations().isEmpty() && !route.get().open() && organisation.isEmpty()) {
-			refuseHead(terms.requestId(), 401, 0, "no such key in version " + configuration.version());
+			refuseRequest(terms.requestId(), 401, 0, "unknown key in configuration version " + configuration.version());
 			return;
 		}
 		if (HttpUtil.is100ContinueExpected(head)) {
@@ -179,73 +191,75 @@
 			.of(new Call(this.gateway, this, head, terms, route.get(), organisation, service, arrivedNanos));
 	}
 
-	private void body(HttpContent content) {
+	private void requestBody(HttpContent content) {
 		if (content.decoderResult().isFailure()) {
-			this.closeAfterAnswer = true;
-			this.call.ifPresent(Call::callerLeft);
+			this.closeAfterResponse = true;
+			this.call.ifPresent(Call::callerDisconnected);
 			if (!this.closed) {
-				refuseHead("", 400, 0, "the body is no HTTP: " + content.decoderResult().cause().getMessage());
+				refuseRequest("", 400, 0,
+						"the body is not valid HTTP: " + content.decoderResult().cause().getMessage());
 			}
 			return;
 		}
-		if (this.dropping || this.call.isEmpty()) {
+		if (this.discarding || this.call.isEmpty()) {
 			return;
 		}
-		Call taker = this.call.get();
+		Call currentCall = this.call.get();
 		if (content.content().isReadable()) {
-			long received = taker.received() + content.content().readableBytes();
+			long received = currentCall.receivedBytes() + content.content().readableBytes();
 			if (received > this.gateway.limits().bodyBytes()) {
-				this.closeAfterAnswer = true;
-				taker.callerLeft();
-				refuseHead(taker.id(), 413, 0, "the body is too long");
+				this.closeAfterResponse = true;
+				currentCall.callerDisconnected();
+				refuseRequest(currentCall.id(), 413, 0, "the body exceeds the size limit");
 				return;
 			}
-			taker.bodyBytes(content.content().retain());
+			currentCall.bodyBytes(content.content().retain());
 		}
-		if (content instanceof LastHttpContent && !taker.isOver()) {
-			taker.bodyComplete();
+		if (content instanceof LastHttpContent && !currentCall.isEnded()) {
+			currentCall.bodyComplete();
 		}
 	}
 
-	private void refuseHead(String requestId, int status, long retryAfterMillis, String reason) {
+	private void refuseRequest(String requestId, int status, long retryAfterMillis, String reason) {
 		EventLog.info(TrafficEvents.REQUEST_REFUSED, "request", requestId, "status", status, "reason", reason);
 		this.gateway.metrics().refused(status);
-		this.dropping = true;
+		this.discarding = true;
 		refuse(status, retryAfterMillis);
 	}
 
-	// -- answers
+	// -- responses
 
 	/**
-	 * Starts an answer.
-	 * @param from the server's head
-	 * @param bodiless whether no body follows whatever the head says
+	 * Sends the head of a response.
+	 * @param serverHead the server's response head
+	 * @param bodiless whether the response has no body regardless of its head
 	 */
-	void startAnswer(HttpResponse from, boolean bodiless) {
-		HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, from.status(), from.headers().copy());
-		boolean sized = HttpUtil.isContentLengthSet(from);
-		HopHeaders.remove(head.headers());
+	void startResponse(HttpResponse serverHead, boolean bodiless) {
+		HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, serverHead.status(),
+				serverHead.headers().copy());
+		boolean hasLength = HttpUtil.isContentLengthSet(serverHead);
+		HopByHopHeaders.remove(head.headers());
 		this.gateway.codec().handBack(head.headers());
-		this.answerWithoutBody = bodiless || from.status().code() == 204 || from.status().code() == 304;
-		if (!sized && !this.answerWithoutBody) {
-			if (this.oldProtocol) {
-				this.closeAfterAnswer = true;
+		this.bodilessResponse = bodiless || serverHead.status().code() == 204 || serverHead.status().code() == 304;
+		if (!hasLength && !this.bodilessResponse) {
+			if (this.http10) {
+				this.closeAfterResponse = true;
 			}
 			else {
 				head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, "chunked");
 			}
 		}
-		setConnection(head);
+		setConnectionHeader(head);
 		this.channel.write(head);
 	}
 
 	/**
-	 * Passes on a piece of the answer.
-	 * @param bytes the bytes; released here
-	 * @return whether the caller takes more
+	 * Forwards a chunk of the response body.
+	 * @param bytes the bytes; released by this method
+	 * @return whether the caller's connection accepts more bytes
 	 */
 	boolean write(ByteBuf bytes) {
-		if (!bytes.isReadable() || this.answerWithoutBody) {
+		if (!bytes.isReadable() || this.bodilessResponse) {
 			bytes.release();
 		}
 		else {
@@ -258,14 +272,14 @@
 		this.channel.flush();
 	}
 
-	void endAnswer() {
-		answered(LastHttpContent.EMPTY_LAST_CONTENT);
+	void endResponse() {
+		writeLast(LastHttpContent.EMPTY_LAST_CONTENT);
 	}
 
 	/**
-	 * Answers of our own accord, with an empty body.
+	 * Sends a response with an empty body that the gateway creates itself.
 	 * @param status the status
-	 * @param retryAfterMillis when to come back, in milliseconds; 0 for not saying
+	 * @param retryAfterMillis the Retry-After, in milliseconds; 0 for none
 	 */
 	void refuse(int status, long retryAfterMillis) {
 		FullHttpResponse head = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
@@ -274,80 +288,85 @@
 			head.headers()
 				.set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfterMillis / 1_000.0));
 		}
-		// The rest of the body would have to be read before the next request.
-		boolean received = this.call.map(Call::isReceived).orElse(true);
-		this.closeAfterAnswer |= !received;
-		setConnection(head);
-		answered(head);
+		// Keeping the connection would require reading the rest of the body first.
+		boolean received = this.call.map(Call::isRequestComplete).orElse(true);
+		this.closeAfterResponse |= !received;
+		setConnectionHeader(head);
+		writeLast(head);
 	}
 
-	/** Breaks an answer off, so that it cannot look complete. */
+	/**
+	 * Closes the connection in the middle of a response, so that the response cannot be
+	 * mistaken for a complete one.
+	 */
 	void abort() {
 		this.closed = true;
 		this.channel.close();
 	}
 
-	void callOver(Call over) {
-		if (this.call.filter((current) -> current == over).isPresent()) {
+	void callEnded(Call ended) {
+		if (this.call.filter((current) -> current == ended).isPresent()) {
 			this.call = Optional.empty();
-			this.dropping = !over.isReceived();
-			this.quietSinceNanos = System.nanoTime();
-			this.gateway.loop().execute(this::takeHeld);
+			this.discarding = !ended.isRequestComplete();
+			this.idleSinceNanos = System.nanoTime();
+			this.gateway.loop().execute(this::processQueue);
 		}
 	}
 
-	private void answered(Object last) {
-		if (this.closeAfterAnswer) {
+	private void writeLast(Object last) {
+		if (this.closeAfterResponse) {
 			this.closed = true;
-			this.channel.writeAndFlush(last).addListener((_) -> closeGently());
+			this.channel.writeAndFlush(last).addListener((_) -> closeAfterLinger());
 		}
 		else {
 			this.channel.writeAndFlush(last);
 		}
-		this.quietSinceNanos = System.nanoTime();
+		this.idleSinceNanos = System.nanoTime();
 	}
 
-	// Bytes that were sent and not read would turn the close into a reset, which can take
-	// the answer away before the caller has read it.
-	private void closeGently() {
+	// Closing a socket with unread bytes sends a reset, which can discard the response
+	// before the caller has read it.
+	private void closeAfterLinger() {
 		((SocketChannel) this.channel).shutdownOutput();
 		this.channel.eventLoop().schedule(() -> this.channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
-	private void setConnection(HttpResponse head) {
-		this.closeAfterAnswer |= this.gateway.policy().stopping();
-		if (this.closeAfterAnswer) {
+	private void setConnectionHeader(HttpResponse head) {
+		this.closeAfterResponse |= this.gateway.policy().stopping();
+		if (this.closeAfterResponse) {
 			head.headers().set(HttpHeaderNames.CONNECTION, "close");
 		}
-		else if (this.oldProtocol) {
+		else if (this.http10) {
 			head.headers().set(HttpHeaderNames.CONNECTION, "keep-alive");
 		}
 	}
 
-	private void takeHeld() {
-		while (!this.held.isEmpty() && !this.closed && this.call.map((now) -> !now.isReceived()).orElse(true)) {
-			Held next = this.held.poll();
-			take(next.message(), next.arrivedNanos());
+	private void processQueue() {
+		while (!this.queue.isEmpty() && !this.closed
+				&& this.call.map((active) -> !active.isRequestComplete()).orElse(true)) {
+			QueuedMessage next = this.queue.poll();
+			process(next.message(), next.arrivedNanos());
 		}
-		if (this.held.size() <= HELD_PARTS) {
-			reading(true);
+		if (this.queue.size() <= MAX_QUEUED_MESSAGES) {
+			setReading(true);
 		}
 	}
 
-	// -- the connection
+	// -- connection
 
-	void reading(boolean on) {
-		this.channel.config().setAutoRead(on);
+	void setReading(boolean enabled) {
+		this.channel.config().setAutoRead(enabled);
 	}
 
 	/**
-	 * Whether the caller left, by all that has arrived from it. While this process is
-	 * busy a request is read before the end of the connection that came right behind it.
-	 * @return true when its connection has ended
+	 * Returns whether the caller has disconnected. Reads from the socket first: when the
+	 * gateway is busy, a request is processed before the end of the connection that was
+	 * received right after it.
+	 * @return true if the connection has ended
 	 */
-	boolean hasLeft() {
-		if (this.channel.config().isAutoRead() && this.channel.unsafe() instanceof NioUnsafe arrived) {
-			arrived.read();
+	boolean isDisconnected() {
+		if (this.channel.config().isAutoRead() && this.channel.unsafe() instanceof NioUnsafe unsafe) {
+			unsafe.read();
 		}
 		return !this.channel.isActive();
 	}
@@ -356,53 +375,53 @@
 		return this.channel.alloc();
 	}
 
-	/** Notes that bytes arrived, before they are read as HTTP. */
+	/** Records that bytes were received, before they are decoded as HTTP. */
 	void bytesArrived() {
-		if (this.call.isEmpty() && !this.dropping && !this.headUnderWay) {
-			this.headUnderWay = true;
+		if (this.call.isEmpty() && !this.discarding && !this.receivingHead) {
+			this.receivingHead = true;
 			this.headSinceNanos = System.nanoTime();
 		}
 	}
 
 	/**
-	 * Closes the connection if its caller takes too long.
-	 * @param nowNanos the time
-	 * @param limits what callers may take
+	 * Closes the connection if the caller exceeds a time limit.
+	 * @param nowNanos the current time
+	 * @param limits the limits
 	 */
-	void sweep(long nowNanos, CallerLimits limits) {
-		long idle = TimeUnit.MILLISECONDS.toNanos(limits.idleMillis());
+	void enforceTimeouts(long nowNanos, CallerLimits limits) {
+		long idleLimitNanos = TimeUnit.MILLISECONDS.toNanos(limits.idleMillis());
 		if (this.call.isPresent()) {
-			boolean stalled = !this.call.get().isReceived() && this.channel.config().isAutoRead()
-					&& nowNanos - this.lastPartNanos > idle;
+			boolean stalled = !this.call.get().isRequestComplete() && this.channel.config().isAutoRead()
+					&& nowNanos - this.lastMessageNanos > idleLimitNanos;
 			if (stalled) {
 				EventLog.info(TrafficEvents.REQUEST_REFUSED, "request", this.call.get().id(), "status", 408, "reason",
-						"the body stalls");
+						"the body was not received in time");
 				abort();
 			}
 		}
-		else if (this.headUnderWay
+		else if (this.receivingHead
 				&& nowNanos - this.headSinceNanos > TimeUnit.MILLISECONDS.toNanos(limits.headerMillis())) {
-			this.closeAfterAnswer = true;
-			refuseHead("", 408, 0, "the headers take too long");
+			this.closeAfterResponse = true;
+			refuseRequest("", 408, 0, "the headers were not received in time");
 		}
-		else if (nowNanos - this.quietSinceNanos > idle) {
+		else if (nowNanos - this.idleSinceNanos > idleLimitNanos) {
 			abort();
 		}
 	}
 
 	/**
-	 * Closes the connection if no request is under way. One that was made a moment ago
-	 * stays: its request is on its way, and would be lost without an answer.
+	 * Closes the connection if it has no request in progress. A connection that is only
+	 * just open stays, because its request may be in transit and would get no response.
 	 */
 	void closeIfIdle() {
-		long quietNanos = System.nanoTime() - this.quietSinceNanos;
-		if (isIdle() && quietNanos >= TimeUnit.MILLISECONDS.toNanos(NEW_MILLIS)) {
+		long idleNanos = System.nanoTime() - this.idleSinceNanos;
+		if (isIdle() && idleNanos >= TimeUnit.MILLISECONDS.toNanos(FIRST_REQUEST_MILLIS)) {
 			abort();
 		}
 	}
 
 	boolean isIdle() {
-		return this.call.isEmpty() && this.held.isEmpty() && !this.headUnderWay;
+		return this.call.isEmpty() && this.queue.isEmpty() && !this.receivingHead;
 	}
 
 	@Override
@@ -416,22 +435,26 @@
 	public void channelInactive(ChannelHandlerContext context) {
 		this.closed = true;
 		this.gateway.callers().remove(this);
-		this.call.ifPresent(Call::callerLeft);
-		this.held.forEach((part) -> ReferenceCountUtil.release(part.message()));
-		this.held.clear();
+		this.call.ifPresent(Call::callerDisconnected);
+		this.queue.forEach((queued) -> ReferenceCountUtil.release(queued.message()));
+		this.queue.clear();
 	}
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-		// Callers reset connections all the time; anything else is a defect of ours.
+		// Connection resets by callers are normal; any other exception is a defect of the
+		// gateway.
 		if (!(cause instanceof IOException)) {
 			EventLog.error(cause, TrafficEvents.CONNECTION_FAILED, "cause", cause);
 		}
 		this.channel.close();
 	}
 
-	/** A part of a request that waits for its turn; its time runs from its arrival. */
-	private record Held(Object message, long arrivedNanos) {
+	/**
+	 * A message of a pipelined request. The time limits of its call count from its
+	 * arrival.
+	 */
+	private record QueuedMessage(Object message, long arrivedNanos) {
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Gateway.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Gateway.java
@@ -25,15 +25,15 @@
 import org.rosemaryfront.routes.TrafficConfiguration;
 
 /**
- * The traffic side of a gateway: callers' connections, calls and servers' connections, on
- * one thread. It decides nothing; see {@link CallPolicy}.
+ * The data path of a gateway: the connections of callers, their calls and the connections
+ * to backend servers, all on one thread. Decisions are made by {@link CallPolicy}.
  */
 public final class Gateway implements AutoCloseable {
 
-	/** Connections that wait to be accepted, for many callers that come at once. */
-	private static final int BACKLOG = 1_024;
+	/** The accept backlog, sized for bursts of new connections. */
+	private static final int ACCEPT_BACKLOG = 1_024;
 
-	private static final long SWEEP_MILLIS = 500;
+	private static final long SWEEP_INTERVAL_MILLIS = 500;
 
 	private final EventLoop loop;
 
@@ -58,54 +58,59 @@
 	// -- factories
 
 	/**
-	 * Opens the callers' address.
+	 * Starts listening for callers.
 	 * @param loop the traffic thread
-	 * @param address the address
-	 * @param codec the headers of calls
-	 * @param policy decides about calls
-	 * @param metrics counts them
-	 * @return the running traffic side
+	 * @param address the address to listen on
+	 * @param codec the codec for the headers of calls
+	 * @param policy the policy that decides about calls
+	 * @param metrics the metrics of calls
+	 * @return the running data path
 	 */
 	public static Gateway open(EventLoop loop, InetSocketAddress address, CallCodec codec, CallPolicy policy,
 			TrafficMetrics metrics) {
 		Gateway gateway = new Gateway(loop, codec, policy, metrics);
 		gateway.bind(address);
-		loop.scheduleWithFixedDelay(gateway::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+		loop.scheduleWithFixedDelay(gateway::enforceCallerTimeouts, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS,
+				TimeUnit.MILLISECONDS);
 		metrics.gauge("callers.connections", gateway.callers::size);
-		metrics.gauge("servers.connections", gateway.pool::open);
-		metrics.gauge("servers.connections.opened", gateway.pool::opened);
+		metrics.gauge("servers.connections", gateway.pool::openCount);
+		metrics.gauge("servers.connections.opened", gateway.pool::openedCount);
 		return gateway;
 	}
 
 	// -- changes
 
 	/**
-	 * Forgets the connections to servers that are gone or started again.
-	 * @param known the starts of servers that are known
+	 * Closes the idle connections to servers that were removed or restarted.
+	 * @param current the starts of the current servers
 	 */
-	public void retainServers(Set<BackendServer.Start> known) {
-		Set<BackendServer.Start> starts = Set.copyOf(known);
+	public void retainServers(Set<BackendServer.Start> current) {
+		Set<BackendServer.Start> starts = Set.copyOf(current);
 		this.loop.execute(() -> this.pool.retain(starts));
 	}
 
 	/**
-	 * Finds out whether a server lives, by a new connection.
+	 * Checks whether a server is alive by opening a new connection.
 	 * @param server the server
-	 * @param mostConnections the connections that this process may have to it
-	 * @param reply gets whether it lives, on the traffic thread
+	 * @param maxConnections the maximum number of connections of this gateway to the
+	 * server
+	 * @param result receives whether the server is alive, on the traffic thread
 	 */
-	public void ask(BackendServer server, int mostConnections, Consumer<Boolean> reply) {
-		this.loop.execute(() -> this.pool.ask(server, mostConnections, reply));
+	public void ask(BackendServer server, int maxConnections, Consumer<Boolean> result) {
+		this.loop.execute(() -> this.pool.checkAlive(server, maxConnections, result));
 	}
 
-	/** Closes callers' connections that carry no request; the others end with theirs. */
+	/**
+	 * Closes the connections of callers that have no request in progress; the others are
+	 * closed with their response.
+	 */
 	public void closeIdle() {
 		this.loop.execute(() -> List.copyOf(this.callers).forEach(CallerConnection::closeIfIdle));
 	}
 
 	/**
-	 * Whether no call is under way.
-	 * @return true when nothing is left to finish
+	 * Returns whether no call is in progress.
+	 * @return true if no connection has a request in progress
 	 */
 	public boolean isIdle() {
 		return this.loop.submit(() -> this.callers.stream().allMatch(CallerConnection::isIdle))
@@ -118,7 +123,7 @@
 		this.loop.submit(() -> new ArrayList<>(this.callers).forEach(CallerConnection::abort)).syncUninterruptibly();
 	}
 
-	// -- for the parts
+	// -- accessors for this package
 
 	EventLoop loop() {
 		return this.loop;
@@ -151,7 +156,7 @@
 	private void bind(InetSocketAddress address) {
 		new ServerBootstrap().group(this.loop, this.loop)
 			.channel(NioServerSocketChannel.class)
-			.option(ChannelOption.SO_BACKLOG, BACKLOG)
+			.option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
 			.option(ChannelOption.SO_REUSEADDR, true)
 			.childOption(ChannelOption.TCP_NODELAY, true)
 			.childHandler(new ChannelInitializer<SocketChannel>() {
@@ -178,10 +183,10 @@
 			.addLast(connection);
 	}
 
-	private void sweep() {
+	private void enforceCallerTimeouts() {
 		long now = System.nanoTime();
 		CallerLimits limits = limits();
-		List.copyOf(this.callers).forEach((connection) -> connection.sweep(now, limits));
+		List.copyOf(this.callers).forEach((connection) -> connection.enforceTimeouts(now, limits));
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ServerChannel.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ServerConnection.java
@@ -20,23 +20,25 @@
 import org.rosemaryfront.ports.CallCodec;
 
 /**
- * One connection to a backend server, with at most one call on it.
+ * A connection to a backend server with at most one call at a time.
  *
  * <p>
- * A faulty server sends bytes that belong to no call: a second answer behind a complete
- * one, or an answer to an earlier call. An answer is taken only if it names the call
- * under way; whatever comes while no call waits ends the connection.
+ * A faulty server can send bytes that belong to no call, such as a second response after
+ * a complete one or a response to an earlier call. A response is accepted only if it does
+ * not name another call than the current one. Bytes received while no call is in progress
+ * close the connection.
  */
-final class ServerChannel extends ChannelInboundHandlerAdapter {
+final class ServerConnection extends ChannelInboundHandlerAdapter {
 
 	/**
-	 * How long before the server's own idle limit a connection is given up: the server
-	 * resets what arrives behind that, and such a call may have run.
+	 * How long before the server's own idle limit a connection is no longer used, in
+	 * milliseconds. After that limit the server resets the connection, and a call sent
+	 * then may have run.
 	 */
 	private static final long IDLE_MARGIN_MILLIS = 1_200;
 
-	/** The idle limit of servers that name none, in milliseconds. */
-	private static final long IDLE_UNKNOWN_MILLIS = 20_000;
+	/** The idle limit for servers that announce none, in milliseconds. */
+	private static final long DEFAULT_IDLE_LIMIT_MILLIS = 20_000;
 
 	private final ConnectionPool pool;
 
@@ -44,14 +46,16 @@
 
 	private Channel channel;
 
-	private AnswerListener listener;
+	private ResponseListener listener;
 
 	private String requestId = "";
 
-	/** Whether the answer under way belongs to an earlier call. */
-	private boolean skipping;
+	/**
+	 * Whether the response being received is interim or belongs to an earlier call.
+	 */
+	private boolean skippingResponse;
 
-	private boolean headSeen;
+	private boolean headReceived;
 
 	private boolean requestWritten;
 
@@ -61,31 +65,31 @@
 
 	private long idleSinceNanos;
 
-	private long idleLimitNanos = TimeUnit.MILLISECONDS.toNanos(IDLE_UNKNOWN_MILLIS);
+	private long idleLimitNanos = TimeUnit.MILLISECONDS.toNanos(DEFAULT_IDLE_LIMIT_MILLIS);
 
-	ServerChannel(ConnectionPool pool, CallCodec codec) {
+	ServerConnection(ConnectionPool pool, CallCodec codec) {
 		this.pool = pool;
 		this.codec = codec;
 	}
 
-	// -- the call
+	// -- call
 
 	/**
-	 * Begins a call on an idle connection.
-	 * @param callId names the call
-	 * @param to takes the answer
+	 * Starts a call on an idle connection.
+	 * @param callId the identifier of the call
+	 * @param responseListener receives the response
 	 */
-	void begin(String callId, AnswerListener to) {
-		this.listener = to;
+	void startCall(String callId, ResponseListener responseListener) {
+		this.listener = responseListener;
 		this.requestId = callId;
-		this.skipping = false;
-		this.headSeen = false;
+		this.skippingResponse = false;
+		this.headReceived = false;
 		this.requestWritten = false;
 	}
 
 	/**
 	 * Sends a part of the request.
-	 * @param part the head or a piece of the body
+	 * @param part the head or a chunk of the body
 	 */
 	void write(HttpObject part) {
 		if (part instanceof LastHttpContent) {
@@ -109,18 +113,18 @@
 		return this.channel.isWritable();
 	}
 
-	void reading(boolean on) {
-		this.channel.config().setAutoRead(on);
+	void setReading(boolean enabled) {
+		this.channel.config().setAutoRead(enabled);
 	}
 
-	/** Ends the call and the connection with it. */
+	/** Ends the call and closes the connection. */
 	void abort() {
 		this.listener = null;
 		this.reusable = false;
 		this.channel.close();
 	}
 
-	// -- the pool
+	// -- pool
 
 	boolean isStale(long nowNanos) {
 		return nowNanos - this.idleSinceNanos >= this.idleLimitNanos;
@@ -134,7 +138,7 @@
 		return this.channel;
 	}
 
-	// -- Netty
+	// -- channel events
 
 	@Override
 	public void handlerAdded(ChannelHandlerContext context) {
@@ -143,10 +147,10 @@
 
 	@Override
 	public void channelRead(ChannelHandlerContext context, Object message) {
-		this.pool.heard(this);
+		this.pool.bytesReceived(this);
 		try {
 			if (this.listener == null) {
-				stray("bytes while no call waits");
+				closeAfterStrayBytes("bytes received while no call is in progress");
 				return;
 			}
 			if (message instanceof HttpResponse head) {
@@ -163,76 +167,76 @@
 
 	private void head(HttpResponse head) {
 		if (head.decoderResult().isFailure()) {
-			broken("no HTTP: " + head.decoderResult().cause().getMessage());
+			fail("the response is not valid HTTP: " + head.decoderResult().cause().getMessage());
 			return;
 		}
 		if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL
 				&& head.status().code() != HttpResponseStatus.SWITCHING_PROTOCOLS.code()) {
-			this.skipping = true;
+			this.skippingResponse = true;
 			return;
 		}
 		AnswerTerms terms = this.codec.answer(head.status().code(), head.headers());
 		if (!terms.requestId().isEmpty() && !terms.requestId().equals(this.requestId)) {
 			EventLog.warn(TrafficEvents.STRAY_ANSWER, "request", this.requestId, "answers", terms.requestId());
-			this.skipping = true;
+			this.skippingResponse = true;
 			this.reusable = false;
 			return;
 		}
-		this.skipping = false;
-		this.headSeen = true;
-		noteKeepAlive(head);
-		this.listener.answerHead(head, terms);
+		this.skippingResponse = false;
+		this.headReceived = true;
+		recordKeepAlive(head);
+		this.listener.responseHead(head, terms);
 	}
 
 	private void content(HttpContent content) {
 		if (content.decoderResult().isFailure()) {
-			broken("no HTTP: " + content.decoderResult().cause().getMessage());
+			fail("the response is not valid HTTP: " + content.decoderResult().cause().getMessage());
 			return;
 		}
-		if (!this.skipping && this.headSeen) {
+		if (!this.skippingResponse && this.headReceived) {
 			ByteBuf bytes = content.content();
 			if (bytes.isReadable()) {
-				this.listener.answerBytes(bytes.retain());
+				this.listener.responseBytes(bytes.retain());
 			}
-			// The decoder ends an answer without length at the end of the connection,
-			// whether that was a close or a reset; after a reset bytes may be missing.
+			// The decoder completes a response without length when the connection ends,
+			// both on a close and on a reset. After a reset, bytes may be missing.
 			if (content instanceof LastHttpContent && this.listener != null && !this.failed) {
-				complete();
+				responseComplete();
 			}
 		}
 	}
 
-	private void complete() {
-		AnswerListener done = this.listener;
+	private void responseComplete() {
+		ResponseListener completed = this.listener;
 		this.listener = null;
 		this.reusable &= this.requestWritten && this.channel.isActive();
 		if (!this.reusable) {
 			this.channel.close();
 		}
 		else {
-			// Not at once: a second answer may stand in the bytes that are being read.
-			this.channel.eventLoop().execute(this::rest);
+			// Deferred, because the bytes being read may contain a second response.
+			this.channel.eventLoop().execute(this::release);
 		}
-		done.answerComplete();
+		completed.responseComplete();
 	}
 
-	/** Lets the connection wait for the next call. */
-	void rest() {
+	/** Returns the connection to the pool for the next call. */
+	void release() {
 		if (this.channel.isActive() && this.reusable) {
 			this.idleSinceNanos = System.nanoTime();
 			this.channel.config().setAutoRead(true);
-			this.pool.rest(this);
+			this.pool.release(this);
 		}
 	}
 
-	private void noteKeepAlive(HttpResponse head) {
+	private void recordKeepAlive(HttpResponse head) {
 		if (!HttpUtil.isKeepAlive(head)) {
 			this.reusable = false;
 		}
 		String value = head.headers().get("Keep-Alive", "");
-		int at = value.indexOf("timeout=");
-		if (at >= 0) {
-			String digits = value.substring(at + "timeout=".length()).split("[^0-9]", 2)[0];
+		int index = value.indexOf("timeout=");
+		if (index >= 0) {
+			String digits = value.substring(index + "timeout=".length()).split("[^0-9]", 2)[0];
 			if (!digits.isEmpty() && digits.length() < 7) {
 				long millis = Math.max(200, Long.parseLong(digits) * 1_000 - IDLE_MARGIN_MILLIS);
 				this.idleLimitNanos = TimeUnit.MILLISECONDS.toNanos(millis);
@@ -243,7 +247,7 @@
 	@Override
 	public void channelReadComplete(ChannelHandlerContext context) {
 		if (this.listener != null) {
-			this.listener.answerPause();
+			this.listener.responseReadComplete();
 		}
 	}
 
@@ -256,29 +260,29 @@
 
 	@Override
 	public void channelInactive(ChannelHandlerContext context) {
-		this.pool.gone(this);
-		broken(this.failed ? "reset" : "closed");
+		this.pool.connectionClosed(this);
+		fail(this.failed ? "reset" : "closed");
 	}
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
 		this.failed = true;
-		broken(String.valueOf(cause.getMessage()));
+		fail(String.valueOf(cause.getMessage()));
 	}
 
-	private void stray(String what) {
+	private void closeAfterStrayBytes(String description) {
 		this.reusable = false;
-		EventLog.warn(TrafficEvents.STRAY_ANSWER, "request", this.requestId, "answers", what);
+		EventLog.warn(TrafficEvents.STRAY_ANSWER, "request", this.requestId, "answers", description);
 		this.channel.close();
 	}
 
-	private void broken(String cause) {
-		AnswerListener told = this.listener;
+	private void fail(String cause) {
+		ResponseListener notified = this.listener;
 		this.listener = null;
 		this.reusable = false;
 		this.channel.close();
-		if (told != null) {
-			told.answerBroken(cause);
+		if (notified != null) {
+			notified.responseFailed(cause);
 		}
 	}
 
