--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RowFormsTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RowFormsTests.java
@@ -66,9 +66,9 @@
 
 	@Test
 	void shouldKeepFormOfTrialWhenGatewayTakesIt() {
-		assertThat(CrashRows.trialKey(REQUEST)).isEqualTo("00000000000000070000000000000009/trial");
-		assertThat(CrashRows.writeTrial("gateway-1/1")).asString().isEqualTo("{\"gateway\":\"gateway-1/1\"}");
-		assertThat(CrashRows.readTrial(bytes("{\"gateway\":\"gateway-1/1\"}"))).isEqualTo("gateway-1/1");
+		assertThat(CrashRows.probeKey(REQUEST)).isEqualTo("00000000000000070000000000000009/trial");
+		assertThat(CrashRows.writeProbe("gateway-1/1")).asString().isEqualTo("{\"gateway\":\"gateway-1/1\"}");
+		assertThat(CrashRows.readProbe(bytes("{\"gateway\":\"gateway-1/1\"}"))).isEqualTo("gateway-1/1");
 	}
 
 	// -- duties
@@ -87,7 +87,7 @@
 		});
 		duty.tick(WINDOW * WINDOW_MILLIS);
 		String key = "000358000000/gateway-1/1f/1";
-		this.control.accept(() -> duty.closed(List.of(new Window(WINDOW, Map.of("sfax", 4L))), 31));
+		this.control.accept(() -> duty.addClosedWindows(List.of(new Window(WINDOW, Map.of("sfax", 4L))), 31));
 		awaitRow("usage", key, () -> {
 		});
 		assertRow("usage", key, "{\"sfax\":4}");
