--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Call.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Call.java
@@ -359,9 +359,9 @@
 		}
 	}
 
-	// The digest, and thus the quarantine, is known only at the end of the body. A server
-	// does not execute the request before that, but one that responds before it has read
-	// the whole body may have executed it.
+	// Whether the request is quarantined is known only with its digest at the end of the body.
+	// A server does not execute the request before that, but one that responds before it has
+	// read the whole body may have executed it.
 	private void endRequestStream() {
 		if (this.gateway.policy().isHeldBack(this)) {
 			abortResponse("the request is quarantined");
@@ -384,8 +384,8 @@
 	}
 
 	/**
-	 * Ends the call after its caller disconnected, because its result is no longer of
-	 * use.
+	 * Ends the call because its caller disconnected or sent an invalid body, so that the
+	 * result is no longer of use.
 	 */
 	void callerDisconnected() {
 		if (this.state == State.DONE) {
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ConnectionPool.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ConnectionPool.java
@@ -175,7 +175,7 @@
 
 	/**
 	 * Returns the number of connections opened since the start of the gateway.
-	 * @return the count
+	 * @return the count, which includes failed attempts
 	 */
 	long openedCount() {
 		return this.openedCount;
