--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Call.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Call.java
@@ -359,8 +359,10 @@
 		}
 	}
 
-	// Whether the request is quarantined is known only with its digest at the end of the body.
-	// A server does not execute the request before that, but one that responds before it has
+	// Whether the request is quarantined is known only with its digest at the end of the
+	// body.
+	// A server does not execute the request before that, but one that responds before it
+	// has
 	// read the whole body may have executed it.
 	private void endRequestStream() {
 		if (this.gateway.policy().isHeldBack(this)) {
@@ -602,8 +604,8 @@
 	private void responded(BackendServer from) {
 		EventLog.info(TrafficEvents.CALL_ANSWERED, "request", id(), "route", this.route.name(), "status", statusCode(),
 				"server", from.id(), "sends", this.sends, "sendMillis", this.sendMillis, "millis", ageMillis(),
-				"firstMillis", this.responseTimes.firstChunkMillis(this.arrivedNanos), "longestPauseMillis",
-				this.responseTimes.longestGapMillis());
+				"firstMillis", this.responseTimes.firstMillis(this.arrivedNanos), "longestPauseMillis",
+				this.responseTimes.longestPauseMillis());
 		this.gateway.metrics().answered(this, statusCode());
 		this.server = Optional.empty();
 		this.gateway.policy().ended(this, from, Ending.ANSWERED);
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/CallerConnection.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/CallerConnection.java
@@ -96,7 +96,7 @@
 	/** Whether an incomplete request head is being received. */
 	private boolean receivingHead;
 
-	private long headSinceNanos;
+	private long headStartNanos;
 
 	private long lastMessageNanos = System.nanoTime();
 
@@ -379,7 +379,7 @@
 	void bytesArrived() {
 		if (this.call.isEmpty() && !this.discarding && !this.receivingHead) {
 			this.receivingHead = true;
-			this.headSinceNanos = System.nanoTime();
+			this.headStartNanos = System.nanoTime();
 		}
 	}
 
@@ -400,7 +400,7 @@
 			}
 		}
 		else if (this.receivingHead
-				&& nowNanos - this.headSinceNanos > TimeUnit.MILLISECONDS.toNanos(limits.headerMillis())) {
+				&& nowNanos - this.headStartNanos > TimeUnit.MILLISECONDS.toNanos(limits.headerMillis())) {
 			this.closeAfterResponse = true;
 			refuseRequest("", 408, 0, "the headers were not received in time");
 		}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ResponseTimes.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ResponseTimes.java
@@ -13,7 +13,7 @@
 
 	private long lastChunkNanos;
 
-	private long longestGapNanos;
+	private long longestPauseNanos;
 
 	/**
 	 * Records that a chunk was received.
@@ -24,7 +24,7 @@
 			this.firstChunkNanos = OptionalLong.of(nowNanos);
 		}
 		else {
-			this.longestGapNanos = Math.max(this.longestGapNanos, nowNanos - this.lastChunkNanos);
+			this.longestPauseNanos = Math.max(this.longestPauseNanos, nowNanos - this.lastChunkNanos);
 		}
 		this.lastChunkNanos = nowNanos;
 	}
@@ -34,7 +34,7 @@
 	 * @param fromNanos when the call was received
 	 * @return the time in milliseconds, -1 if no chunk was recorded
 	 */
-	long firstChunkMillis(long fromNanos) {
+	long firstMillis(long fromNanos) {
 		return this.firstChunkNanos.isPresent()
 				? TimeUnit.NANOSECONDS.toMillis(this.firstChunkNanos.getAsLong() - fromNanos) : -1;
 	}
@@ -43,8 +43,8 @@
 	 * Returns the longest time between two chunks.
 	 * @return the time in milliseconds
 	 */
-	long longestGapMillis() {
-		return TimeUnit.NANOSECONDS.toMillis(this.longestGapNanos);
+	long longestPauseMillis() {
+		return TimeUnit.NANOSECONDS.toMillis(this.longestPauseNanos);
 	}
 
 }
