--- a/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/CapacityExecutor.java
+++ b/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/CapacityExecutor.java
@@ -15,7 +15,7 @@
 import org.rosemaryfront.engine.EngineClient;
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.events.Invariants;
-import org.rosemaryfront.lease.LeaseMachine;
+import org.rosemaryfront.lease.LeaseStateMachine;
 import org.rosemaryfront.model.VmId;
 import org.rosemaryfront.platform.CloudClient;
 import org.rosemaryfront.platform.PlatformException;
@@ -37,7 +37,7 @@
 
 	private final IntentTable intents;
 
-	private final LeaseMachine lease;
+	private final LeaseStateMachine lease;
 
 	private final ControllerSettings settings;
 
@@ -53,7 +53,7 @@
 
 	private long fenceVersion;
 
-	CapacityExecutor(ControllerParts parts, LeaseMachine lease, DecisionLog decisions, Consumer<CapacityEvent> answers,
+	CapacityExecutor(ControllerParts parts, LeaseStateMachine lease, DecisionLog decisions, Consumer<CapacityEvent> answers,
 			Consumer<Long> overtaken) {
 		this.engines = parts.engines();
 		this.cloud = parts.cloud();
@@ -225,7 +225,7 @@
 				"order " + order.vm() + " " + order.models() + (order.drain() ? " drain" : "") + ": " + order.reason());
 		EngineClient.EngineOrder wire = new EngineClient.EngineOrder(this.lease.fence(), valid, order.models(),
 				order.adapters(), order.drain() ? WireTypes.DRAIN : WireTypes.SERVE);
-		Invariants.check(this.lease.mayOrder(System.nanoTime()), ControllerEvents.ORDER_WITHOUT_LEASE, "vm",
+		Invariants.check(this.lease.maySendOrders(System.nanoTime()), ControllerEvents.ORDER_WITHOUT_LEASE, "vm",
 				order.vm());
 		change(stateAnswer(order.vm(), now, this.engines.order(order.address(), wire)));
 	}
@@ -234,7 +234,7 @@
 
 	// Whether the lease has ended; the command is then answered as failed.
 	private boolean withheld(String what, Object which, CapacityEvent answer) {
-		if (this.lease.mayOrder(System.nanoTime())) {
+		if (this.lease.maySendOrders(System.nanoTime())) {
 			return false;
 		}
 		EventLog.warn(ControllerEvents.ORDER_WITHHELD, "what", what, "which", which);
--- a/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/Controller.java
+++ b/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/Controller.java
@@ -19,7 +19,7 @@
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.lease.LeaseCommand;
 import org.rosemaryfront.lease.LeaseEvent;
-import org.rosemaryfront.lease.LeaseMachine;
+import org.rosemaryfront.lease.LeaseStateMachine;
 import org.rosemaryfront.model.Configuration;
 import org.rosemaryfront.model.VmId;
 import org.rosemaryfront.program.ControlLoop;
@@ -53,7 +53,7 @@
 
 	private final DecisionLog decisionLog = new DecisionLog();
 
-	private final LeaseMachine lease;
+	private final LeaseStateMachine lease;
 
 	private final LeaseTable leaseTable;
 
@@ -74,7 +74,7 @@
 	private long nextDecisionNanos = System.nanoTime();
 
 	private Controller(ControllerParts parts, long seed) {
-		this.lease = LeaseMachine.of(parts.settings().vm(), parts.settings().lease().terms(), seed);
+		this.lease = LeaseStateMachine.of(parts.settings().vm(), parts.settings().lease().terms(), seed);
 		this.leaseTable = LeaseTable.of(parts.tables());
 		this.controllers = parts.controllers();
 		this.decisions = CapacityDecisions.of(parts.settings().capacity().limits(), seed);
@@ -108,7 +108,7 @@
 		this.loop.post((_) -> {
 			if (fence > this.lease.fence()) {
 				EventLog.warn(ControllerEvents.FENCE_OVERTAKEN, "own", this.lease.fence(), "seen", fence);
-				this.lease.fenceSeen(fence);
+				this.lease.observeFence(fence);
 			}
 		});
 	}
@@ -122,7 +122,7 @@
 	CompletableFuture<Status> status() {
 		CompletableFuture<Status> status = new CompletableFuture<>();
 		this.loop.post((now) -> status.complete(new Status(this.lease.holder(), this.lease.fence(),
-				this.lease.mayOrder(now), Duration.ofNanos(this.lease.remainingNanos(now)).toMillis(),
+				this.lease.maySendOrders(now), Duration.ofNanos(this.lease.remainingNanos(now)).toMillis(),
 				this.decisions.status(), this.decisionLog.last())));
 		return status;
 	}
@@ -135,7 +135,7 @@
 		if (nowNanos - this.nextDecisionNanos < 0) {
 			return;
 		}
-		this.lease.processes(this.controllers.getAsInt());
+		this.lease.setProcessCount(this.controllers.getAsInt());
 		this.nextDecisionNanos = nowNanos + DECISIONS.toNanos();
 		try (Timer.Context _ = this.tickTimer.time()) {
 			for (CapacityCommand command : this.decisions.tick(nowNanos)) {
@@ -156,7 +156,7 @@
 
 	// Tells the decisions when the lease begins and ends.
 	private void follow(long nowNanos) {
-		boolean held = this.lease.mayOrder(nowNanos) && !this.stopping;
+		boolean held = this.lease.maySendOrders(nowNanos) && !this.stopping;
 		if (!held && this.leadingFence != 0) {
 			EventLog.warn(ControllerEvents.LEASE_LOST, "fence", this.leadingFence, "holder", this.lease.holder());
 			this.leadingFence = 0;
@@ -173,7 +173,7 @@
 
 	private void fenceRead(long fence, long version, long nowNanos) {
 		this.fenceAsked = false;
-		if (version == 0 || fence != this.lease.fence() || !this.lease.mayOrder(nowNanos)) {
+		if (version == 0 || fence != this.lease.fence() || !this.lease.maySendOrders(nowNanos)) {
 			return;
 		}
 		EventLog.info(ControllerEvents.LEASE_TAKEN, "fence", fence);
--- a/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/ControllerSettings.java
+++ b/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/ControllerSettings.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 import org.rosemaryfront.capacity.CapacitySettings;
-import org.rosemaryfront.lease.LeaseTerms;
+import org.rosemaryfront.lease.LeaseTiming;
 import org.rosemaryfront.platform.PlatformSettings;
 import org.rosemaryfront.tls.TlsSettings;
 
@@ -63,8 +63,8 @@
 			}
 		}
 
-		LeaseTerms terms() {
-			return LeaseTerms.of(Duration.ofMillis(this.termMillis), Duration.ofMillis(this.marginMillis));
+		LeaseTiming terms() {
+			return LeaseTiming.of(Duration.ofMillis(this.termMillis), Duration.ofMillis(this.marginMillis));
 		}
 
 	}
--- a/rosemaryfront-controller/src/test/java/org/rosemaryfront/controller/CapacityExecutorTests.java
+++ b/rosemaryfront-controller/src/test/java/org/rosemaryfront/controller/CapacityExecutorTests.java
@@ -14,8 +14,8 @@
 import org.rosemaryfront.capacity.CapacityEvent;
 import org.rosemaryfront.events.Invariants;
 import org.rosemaryfront.lease.LeaseCommand;
-import org.rosemaryfront.lease.LeaseMachine;
-import org.rosemaryfront.lease.LeaseTerms;
+import org.rosemaryfront.lease.LeaseStateMachine;
+import org.rosemaryfront.lease.LeaseTiming;
 import org.rosemaryfront.model.VmId;
 import org.rosemaryfront.platform.CloudClient;
 import org.rosemaryfront.standin.platform.Fault;
@@ -27,7 +27,7 @@
 
 	private static final Duration TERM = Duration.ofMinutes(10);
 
-	private static final LeaseTerms TERMS = LeaseTerms.of(TERM, Duration.ofSeconds(1));
+	private static final LeaseTiming TERMS = LeaseTiming.of(TERM, Duration.ofSeconds(1));
 
 	private static final VmId VM = new VmId("vm-1");
 
@@ -112,13 +112,13 @@
 
 	// An executor whose lease was written at a time and not looked at since.
 	private CapacityExecutor executor(long leaseNanos) {
-		LeaseMachine lease = LeaseMachine.of("entry-1", TERMS, 1);
+		LeaseStateMachine lease = LeaseStateMachine.of("entry-1", TERMS, 1);
 		LeaseTable table = LeaseTable.of(this.platform);
 		for (int i = 0; i < 2; i++) {
 			List<LeaseCommand> commands = new ArrayList<>(lease.tick(leaseNanos));
 			commands.forEach((command) -> lease.accept(table.execute(command).block(), leaseNanos));
 		}
-		assertThat(lease.mayOrder(leaseNanos)).isTrue();
+		assertThat(lease.maySendOrders(leaseNanos)).isTrue();
 		CapacityExecutor executor = new CapacityExecutor(
 				Fixtures.parts("entry-1", this.platform, this.platform, this.engines), lease, new DecisionLog(),
 				this.answers::add, this.overtaken::add);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Crash.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Crash.java
@@ -1,6 +1,6 @@
 package org.rosemaryfront.crashes;
 
-import org.rosemaryfront.dispatch.BackendServer.Start;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
 
 /**
  * The crash, or possible crash, of a backend server while it had a request.
@@ -8,5 +8,5 @@
  * @param request the digest of the request
  * @param server the start of the server
  */
-public record Crash(RequestDigest request, Start server) {
+public record Crash(RequestDigest request, Incarnation server) {
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/CrashTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/CrashTable.java
@@ -17,7 +17,7 @@
 
 import org.rosemaryfront.crashes.Evidence.State;
 import org.rosemaryfront.crashes.SuspectedRequest.Entry;
-import org.rosemaryfront.dispatch.BackendServer.Start;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
 
 /**
  * Tracks the requests that servers had when they crashed, and quarantines those that
@@ -38,7 +38,7 @@
  * callers send the same request, one copy is sent as a probe.
  *
  * <p>
- * Not thread-safe, except for {@link #isHeld} and {@link #heldCount}. Times are on the
+ * Not thread-safe, except for {@link #isQuarantined} and {@link #quarantinedCount}. Times are on the
  * monotonic clock, in nanoseconds, unless stated otherwise.
  */
 public final class CrashTable {
@@ -81,7 +81,7 @@
 	private final Map<RequestDigest, SuspectedRequest> suspectedRequests = new LinkedHashMap<>();
 
 	/** The requests that each server had when it crashed, or may have crashed. */
-	private final Map<Start, List<RequestDigest>> byServer = new HashMap<>();
+	private final Map<Incarnation, List<RequestDigest>> byServer = new HashMap<>();
 
 	/**
 	 * The entries that may still be written or may expire. They are scanned many times a
@@ -103,7 +103,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return whether the caller must check if the server crashed
 	 */
-	public boolean suspected(Crash crash, long atMillis, long nowNanos) {
+	public boolean connectionLost(Crash crash, long atMillis, long nowNanos) {
 		if (find(crash).isPresent()) {
 			return false;
 		}
@@ -117,7 +117,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the evidence that this confirms
 	 */
-	public List<Evidence> crashed(Start server, long nowNanos) {
+	public List<Evidence> serverCrashed(Incarnation server, long nowNanos) {
 		return changeState(entriesOf(server), State.CONFIRMED, nowNanos);
 	}
 
@@ -129,7 +129,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the evidence that this clears
 	 */
-	public List<Evidence> answers(Start server, long sentNanos, long nowNanos) {
+	public List<Evidence> serverResponded(Incarnation server, long sentNanos, long nowNanos) {
 		if (!this.byServer.containsKey(server)) {
 			return List.of();
 		}
@@ -146,7 +146,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the evidence that this clears
 	 */
-	public List<Evidence> cleared(RequestDigest request, long nowNanos) {
+	public List<Evidence> clear(RequestDigest request, long nowNanos) {
 		SuspectedRequest suspect = this.suspectedRequests.get(request);
 		return (suspect != null) ? changeState(suspect.entries.values(), State.CLEARED, nowNanos) : List.of();
 	}
@@ -159,7 +159,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return whether this changed the evidence
 	 */
-	public boolean heard(Evidence received, long nowNanos) {
+	public boolean receive(Evidence received, long nowNanos) {
 		return merge(received, nowNanos).isPresent();
 	}
 
@@ -169,7 +169,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return whether this changed the evidence
 	 */
-	public boolean stored(Evidence row, long nowNanos) {
+	public boolean rowRead(Evidence row, long nowNanos) {
 		boolean hasChanged = merge(row, nowNanos).isPresent();
 		find(row.crash()).ifPresent((entry) -> {
 			entry.hasRow = true;
@@ -184,7 +184,7 @@
 	 * Removes evidence whose row is no longer in the store.
 	 * @param crash the crash that the row described
 	 */
-	public void removed(Crash crash) {
+	public void rowRemoved(Crash crash) {
 		find(crash).filter((entry) -> entry.hasRow).ifPresent((_) -> remove(crash));
 	}
 
@@ -193,7 +193,7 @@
 	 * @param request the request
 	 * @param granted whether a process has, or had, the probe
 	 */
-	public void trial(RequestDigest request, boolean granted) {
+	public void setProbeGranted(RequestDigest request, boolean granted) {
 		if (granted) {
 			this.suspectedRequests.computeIfAbsent(request, (_) -> new SuspectedRequest()).probeGranted = true;
 		}
@@ -227,10 +227,10 @@
 	 * crashes first.
 	 * @param limit the maximum number of rows
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
-	 * @return the rows; the caller reports each outcome with {@link #written} or
-	 * {@link #notWritten}
+	 * @return the rows; the caller reports each outcome with {@link #writeCommitted} or
+	 * {@link #writeFailed}
 	 */
-	public List<Evidence> unwritten(int limit, long nowNanos) {
+	public List<Evidence> pendingWrites(int limit, long nowNanos) {
 		List<Entry> due = this.unsettled.stream()
 			.filter((entry) -> entry.isWriteDue(isOnlyCrash(entry), nowNanos))
 			.toList();
@@ -261,7 +261,7 @@
 	 * Records that the store has a row in this state or a later one.
 	 * @param row the row
 	 */
-	public void written(Evidence row) {
+	public void writeCommitted(Evidence row) {
 		find(row.crash()).ifPresent((entry) -> {
 			entry.hasRow = true;
 			entry.stored |= entry.evidence.state() == row.state();
@@ -273,7 +273,7 @@
 	 * @param row the row
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	public void notWritten(Evidence row, long nowNanos) {
+	public void writeFailed(Evidence row, long nowNanos) {
 		find(row.crash()).ifPresent((entry) -> entry.scheduleWrite(nowNanos + WRITE_RETRY_INTERVAL_NANOS));
 	}
 
@@ -283,7 +283,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the updates
 	 */
-	public List<Evidence> news(long nowNanos) {
+	public List<Evidence> updates(long nowNanos) {
 		return this.suspectedRequests.values()
 			.stream()
 			.sorted(Comparator.comparingInt((SuspectedRequest suspect) -> -suspect.entries.size()))
@@ -320,7 +320,7 @@
 	 * @param request the request
 	 * @return true if the request must not be sent, except as a probe
 	 */
-	public boolean isHeld(RequestDigest request) {
+	public boolean isQuarantined(RequestDigest request) {
 		return !this.quarantined.isEmpty() && this.quarantined.contains(request);
 	}
 
@@ -329,18 +329,18 @@
 	 * @param request the request
 	 * @return the decision
 	 */
-	public Judgement judge(RequestDigest request) {
+	public QuarantineDecision decide(RequestDigest request) {
 		SuspectedRequest suspect = this.suspectedRequests.get(request);
 		if (suspect == null) {
-			return Judgement.Free.UNSUSPECTED;
+			return QuarantineDecision.Allowed.UNSUSPECTED;
 		}
 		List<Evidence> uncleared = suspect.unclearedEvidence();
-		List<Start> servers = uncleared.stream().map((counted) -> counted.crash().server()).toList();
+		List<Incarnation> servers = uncleared.stream().map((counted) -> counted.crash().server()).toList();
 		if (uncleared.size() < QUARANTINE_THRESHOLD) {
-			return new Judgement.Free(servers);
+			return new QuarantineDecision.Allowed(servers);
 		}
 		boolean mayProbe = !suspect.probeGranted && areSimultaneous(uncleared);
-		return mayProbe ? new Judgement.OnTrial(servers) : new Judgement.Held(servers);
+		return mayProbe ? new QuarantineDecision.Probe(servers) : new QuarantineDecision.Quarantined(servers);
 	}
 
 	/**
@@ -356,7 +356,7 @@
 	 * Returns all evidence.
 	 * @return the evidence by request, in the order in which the requests were added
 	 */
-	public Map<RequestDigest, List<Evidence>> all() {
+	public Map<RequestDigest, List<Evidence>> allEvidence() {
 		Map<RequestDigest, List<Evidence>> all = new LinkedHashMap<>();
 		this.suspectedRequests.forEach((request, suspect) -> all.put(request,
 				suspect.entries.values().stream().map((entry) -> entry.evidence).toList()));
@@ -376,7 +376,7 @@
 	 * be called on any thread.
 	 * @return the number of requests
 	 */
-	public int heldCount() {
+	public int quarantinedCount() {
 		return this.quarantined.size();
 	}
 
@@ -391,7 +391,7 @@
 			.map((suspect) -> suspect.entries.get(crash.server()));
 	}
 
-	private List<Entry> entriesOf(Start server) {
+	private List<Entry> entriesOf(Incarnation server) {
 		return this.byServer.getOrDefault(server, List.of())
 			.stream()
 			.map((request) -> find(new Crash(request, server)))
@@ -439,9 +439,9 @@
 	}
 
 	private void updateQuarantine(RequestDigest request) {
-		switch (judge(request)) {
-			case Judgement.Free _ -> this.quarantined.remove(request);
-			case Judgement.OnTrial _, Judgement.Held _ -> this.quarantined.add(request);
+		switch (decide(request)) {
+			case QuarantineDecision.Allowed _ -> this.quarantined.remove(request);
+			case QuarantineDecision.Probe _, QuarantineDecision.Quarantined _ -> this.quarantined.add(request);
 		}
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/Judgement.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/QuarantineDecision.java
@@ -2,35 +2,35 @@
 
 import java.util.List;
 
-import org.rosemaryfront.dispatch.BackendServer.Start;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
 
 /** Whether a request may be sent, given the known crashes. */
-public sealed interface Judgement {
+public sealed interface QuarantineDecision {
 
 	/**
 	 * Returns the decision for a request without any evidence.
 	 * @return the decision
 	 */
-	static Judgement none() {
-		return Free.UNSUSPECTED;
+	static QuarantineDecision none() {
+		return Allowed.UNSUSPECTED;
 	}
 
 	/**
 	 * Returns the servers that crashed, or may have crashed, while they had the request.
 	 * @return the starts of the servers, in the order of the crashes
 	 */
-	List<Start> servers();
+	List<Incarnation> servers();
 
 	/**
 	 * The request may be sent.
 	 *
 	 * @param servers the servers that crashed
 	 */
-	record Free(List<Start> servers) implements Judgement {
+	record Allowed(List<Incarnation> servers) implements QuarantineDecision {
 
-		static final Free UNSUSPECTED = new Free(List.of());
+		static final Allowed UNSUSPECTED = new Allowed(List.of());
 
-		public Free {
+		public Allowed {
 			servers = List.copyOf(servers);
 		}
 
@@ -43,9 +43,9 @@
 	 *
 	 * @param servers the servers that crashed
 	 */
-	record OnTrial(List<Start> servers) implements Judgement {
+	record Probe(List<Incarnation> servers) implements QuarantineDecision {
 
-		public OnTrial {
+		public Probe {
 			servers = List.copyOf(servers);
 		}
 
@@ -56,9 +56,9 @@
 	 *
 	 * @param servers the servers that crashed
 	 */
-	record Held(List<Start> servers) implements Judgement {
+	record Quarantined(List<Incarnation> servers) implements QuarantineDecision {
 
-		public Held {
+		public Quarantined {
 			servers = List.copyOf(servers);
 		}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/SuspectedRequest.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/SuspectedRequest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 
 import org.rosemaryfront.crashes.Evidence.State;
-import org.rosemaryfront.dispatch.BackendServer.Start;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
 
 /**
  * A request and the evidence of servers that crashed, or may have crashed, while they had
@@ -40,7 +40,7 @@
 	 */
 	private static final long REPORT_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-	final Map<Start, Entry> entries = new LinkedHashMap<>();
+	final Map<Incarnation, Entry> entries = new LinkedHashMap<>();
 
 	/** Whether a process has, or had, the single probe of the request. */
 	boolean probeGranted;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendRow.java
@@ -67,7 +67,7 @@
 	long uncachedTokens() {
 		long sum = this.ownUncachedTokens;
 		for (BackendUse other : this.usesByProcess.values()) {
-			sum += other.unreadTokens();
+			sum += other.uncachedTokens();
 		}
 		return sum;
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendServer.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendServer.java
@@ -26,8 +26,8 @@
 	 * Returns the identity of this run of the server.
 	 * @return the name and the start time
 	 */
-	public Start start() {
-		return new Start(this.id, this.startedMillis);
+	public Incarnation incarnation() {
+		return new Incarnation(this.id, this.startedMillis);
 	}
 
 	/**
@@ -66,7 +66,7 @@
 	 * @param id its name
 	 * @param startedMillis when it started, in milliseconds since 1970
 	 */
-	public record Start(String id, long startedMillis) {
+	public record Incarnation(String id, long startedMillis) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendTable.java
@@ -13,7 +13,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 
-import org.rosemaryfront.dispatch.BackendServer.Start;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
 
 /**
  * The backend servers that can receive calls, built from their registrations, and their
@@ -71,7 +71,7 @@
 	private final Map<String, BackendRow> rows = new LinkedHashMap<>();
 
 	/** The servers that each other process used according to its last report. */
-	private final Map<String, Set<Start>> serversByProcess = new HashMap<>();
+	private final Map<String, Set<Incarnation>> serversByProcess = new HashMap<>();
 
 	/** The last registration of each server, including servers that were removed. */
 	private final Map<String, BackendServer> latestRegistrations = new LinkedHashMap<>();
@@ -89,7 +89,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return true if the server is new or its registration changed
 	 */
-	public boolean registered(BackendServer server, long nowNanos) {
+	public boolean recordRegistration(BackendServer server, long nowNanos) {
 		return put(server, OptionalLong.of(nowNanos));
 	}
 
@@ -99,7 +99,7 @@
 	 * @param server the server
 	 * @return true if the server is new or its registration changed
 	 */
-	public boolean foundAtStart(BackendServer server) {
+	public boolean recordExistingRegistration(BackendServer server) {
 		return put(server, OptionalLong.empty());
 	}
 
@@ -112,7 +112,7 @@
 		}
 		recordLatest(server);
 		BackendRow existing = this.rows.get(server.id());
-		if (existing == null || isOtherStart(server)) {
+		if (existing == null || isRestart(server)) {
 			this.rows.put(server.id(), new BackendRow(server, registeredNanos));
 			return true;
 		}
@@ -150,8 +150,8 @@
 	 * @param server the server
 	 * @return true if the registration is the first one after a restart
 	 */
-	public boolean isOtherStart(BackendServer server) {
-		return find(server.id()).filter((existing) -> !existing.start().equals(server.start())).isPresent();
+	public boolean isRestart(BackendServer server) {
+		return find(server.id()).filter((existing) -> !existing.incarnation().equals(server.incarnation())).isPresent();
 	}
 
 	/**
@@ -159,7 +159,7 @@
 	 * valid registration arrives.
 	 * @param id the id of the server
 	 */
-	public void unreadable(String id) {
+	public void recordInvalidRegistration(String id) {
 		Optional.ofNullable(this.rows.get(id)).ifPresent((row) -> row.invalidRegistration = true);
 	}
 
@@ -172,7 +172,7 @@
 	 * never unavailable
 	 * @return the remaining time for which the server is retained, in nanoseconds
 	 */
-	public long lapsed(String id, long nowNanos, OptionalLong returnedNanos) {
+	public long recordLapse(String id, long nowNanos, OptionalLong returnedNanos) {
 		BackendRow row = this.rows.get(id);
 		if (row != null && row.removeAtNanos.isEmpty()) {
 			long remainingNanos = returnedNanos.isPresent()
@@ -187,7 +187,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the servers removed
 	 */
-	public List<BackendServer> expire(long nowNanos) {
+	public List<BackendServer> removeExpired(long nowNanos) {
 		List<BackendServer> dropped = new ArrayList<>();
 		this.rows.values().removeIf((row) -> {
 			boolean expired = row.removeAtNanos.isPresent() && nowNanos - row.removeAtNanos.getAsLong() >= 0;
@@ -206,7 +206,7 @@
 	 * @param server the run of the server
 	 * @param uncachedTokens the prompt tokens that the server has to prefill for the call
 	 */
-	public void sent(Start server, long uncachedTokens) {
+	public void recordCallSent(Incarnation server, long uncachedTokens) {
 		row(server).ifPresent((row) -> {
 			row.ownCalls++;
 			row.lastCallNumber = ++this.sent;
@@ -220,8 +220,8 @@
 	 * @param prefix the segments
 	 * @param cacheCapacityTokens the capacity of the server's KV cache, in tokens
 	 */
-	public void reads(Start server, SharedParts prefix, long cacheCapacityTokens) {
-		row(server).ifPresent((row) -> prefix.parts().forEach((segment) -> {
+	public void recordPrefillStart(Incarnation server, PromptPrefix prefix, long cacheCapacityTokens) {
+		row(server).ifPresent((row) -> prefix.segments().forEach((segment) -> {
 			if (row.cachedSegments.add(segment, cacheCapacityTokens)) {
 				this.segmentUpdates.add(server, segment);
 			}
@@ -234,7 +234,7 @@
 	 * @param segments the segments
 	 * @param cacheCapacityTokens the capacity of the server's KV cache, in tokens
 	 */
-	public void othersRead(Start server, List<SharedParts.Part> segments, long cacheCapacityTokens) {
+	public void recordPeerPrefill(Incarnation server, List<PromptPrefix.Segment> segments, long cacheCapacityTokens) {
 		row(server)
 			.ifPresent((row) -> segments.forEach((segment) -> row.cachedSegments.add(segment, cacheCapacityTokens)));
 	}
@@ -244,7 +244,7 @@
 	 * reported to the other processes, and removes them from the pending updates.
 	 * @return the segments by run of a server
 	 */
-	public Map<Start, List<SharedParts.Part>> partsToTell() {
+	public Map<Incarnation, List<PromptPrefix.Segment>> takeSegmentUpdates() {
 		return this.segmentUpdates.take();
 	}
 
@@ -253,7 +253,7 @@
 	 * @param server the run of the server
 	 * @param uncachedTokens the tokens recorded when the call was sent
 	 */
-	public void read(Start server, long uncachedTokens) {
+	public void recordPrefillEnd(Incarnation server, long uncachedTokens) {
 		row(server).ifPresent((row) -> row.ownUncachedTokens = Math.max(0, row.ownUncachedTokens - uncachedTokens));
 	}
 
@@ -263,7 +263,7 @@
 	 * @param expectedMillis the expected time, in milliseconds
 	 * @param millis the measured time, in milliseconds
 	 */
-	public void firstToken(Start server, long expectedMillis, long millis) {
+	public void recordFirstToken(Incarnation server, long expectedMillis, long millis) {
 		double ratio = Math.clamp((double) millis / Math.max(1, expectedMillis), 1 / MAX_SLOWNESS_RATIO,
 				MAX_SLOWNESS_RATIO);
 		row(server).ifPresent((row) -> row.slowness += SLOWNESS_SMOOTHING_FACTOR * (ratio - row.slowness));
@@ -275,11 +275,11 @@
 	 * @param failed whether the call failed because of the server
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	public void ended(Start server, boolean failed, long nowNanos) {
-		row(server).ifPresent((row) -> ended(row, failed, nowNanos));
+	public void recordCallEnd(Incarnation server, boolean failed, long nowNanos) {
+		row(server).ifPresent((row) -> recordCallEnd(row, failed, nowNanos));
 	}
 
-	private static void ended(BackendRow row, boolean failed, long nowNanos) {
+	private static void recordCallEnd(BackendRow row, boolean failed, long nowNanos) {
 		row.ownCalls = Math.max(0, row.ownCalls - 1);
 		row.consecutiveFailures = failed ? row.consecutiveFailures + 1 : 0;
 		if (row.consecutiveFailures >= AVOIDANCE_THRESHOLD) {
@@ -295,7 +295,7 @@
 	 * @param server the run of the server
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	public void crashed(Start server, long nowNanos) {
+	public void recordCrash(Incarnation server, long nowNanos) {
 		row(server).ifPresent((row) -> row.avoidUntil(nowNanos + CRASH_AVOIDANCE_NANOS));
 	}
 
@@ -303,7 +303,7 @@
 	 * Records that a server assumed to have crashed is alive.
 	 * @param server the run of the server
 	 */
-	public void lives(Start server) {
+	public void recordAlive(Incarnation server) {
 		row(server).ifPresent((row) -> row.avoidUntilNanos = OptionalLong.empty());
 	}
 
@@ -312,7 +312,7 @@
 	 * success of the server.
 	 * @param server the run of the server
 	 */
-	public void abandoned(Start server) {
+	public void recordCallCancelled(Incarnation server) {
 		row(server).ifPresent((row) -> row.ownCalls = Math.max(0, row.ownCalls - 1));
 	}
 
@@ -321,8 +321,8 @@
 	 * @param process the other process
 	 * @param uses its use by run of a server; servers that are absent are not used by it
 	 */
-	public void othersAt(String process, Map<Start, BackendUse> uses) {
-		Set<Start> previous = this.serversByProcess.getOrDefault(process, Set.of());
+	public void recordPeerUse(String process, Map<Incarnation, BackendUse> uses) {
+		Set<Incarnation> previous = this.serversByProcess.getOrDefault(process, Set.of());
 		previous.stream()
 			.filter((server) -> !uses.containsKey(server))
 			.forEach((server) -> row(server).ifPresent((row) -> row.usesByProcess.remove(process)));
@@ -335,11 +335,11 @@
 	 * @return the use by run of a server, without servers that have no call of this
 	 * process
 	 */
-	public Map<Start, BackendUse> ownUse() {
-		Map<Start, BackendUse> uses = new HashMap<>();
+	public Map<Incarnation, BackendUse> ownUse() {
+		Map<Incarnation, BackendUse> uses = new HashMap<>();
 		for (BackendRow row : this.rows.values()) {
 			if (row.ownCalls > 0) {
-				uses.put(row.server.start(), new BackendUse(row.ownCalls, row.ownUncachedTokens));
+				uses.put(row.server.incarnation(), new BackendUse(row.ownCalls, row.ownUncachedTokens));
 			}
 		}
 		return uses;
@@ -361,7 +361,7 @@
 	 * @param server the run of the server
 	 * @return true while it is registered and not leaving
 	 */
-	public boolean isExpected(Start server) {
+	public boolean isExpected(Incarnation server) {
 		return row(server).filter((row) -> row.removeAtNanos.isEmpty() && !row.server.leaving()).isPresent();
 	}
 
@@ -404,11 +404,11 @@
 	 * Returns the servers that are eligible for new calls.
 	 * @return the runs of the servers
 	 */
-	public Set<Start> takers() {
+	public Set<Incarnation> eligibleServers() {
 		return this.rows.values()
 			.stream()
 			.filter(BackendRow::isEligible)
-			.map((row) -> row.server.start())
+			.map((row) -> row.server.incarnation())
 			.collect(Collectors.toUnmodifiableSet());
 	}
 
@@ -433,8 +433,8 @@
 			.toList();
 	}
 
-	private Optional<BackendRow> row(Start server) {
-		return Optional.ofNullable(this.rows.get(server.id())).filter((row) -> row.server.start().equals(server));
+	private Optional<BackendRow> row(Incarnation server) {
+		return Optional.ofNullable(this.rows.get(server.id())).filter((row) -> row.server.incarnation().equals(server));
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/Dispatcher.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/Dispatcher.java
@@ -77,7 +77,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the choice
 	 */
-	public Choice choose(Wish requirements, Collection<String> tried, long nowNanos) {
+	public Choice choose(CallRequirements requirements, Collection<String> tried, long nowNanos) {
 		return choose(requirements, tried, (_) -> true, nowNanos);
 	}
 
@@ -89,7 +89,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the choice
 	 */
-	public Choice choose(Wish requirements, Collection<String> tried, Predicate<BackendServer> allowed, long nowNanos) {
+	public Choice choose(CallRequirements requirements, Collection<String> tried, Predicate<BackendServer> allowed, long nowNanos) {
 		List<BackendRow> eligible = this.table.eligibleRows(requirements.service(), tried)
 			.stream()
 			.filter((row) -> allowed.test(row.server))
@@ -118,7 +118,7 @@
 				Optional.empty());
 	}
 
-	private Choice earliestFirstToken(Wish requirements, List<BackendRow> available, long nowNanos) {
+	private Choice earliestFirstToken(CallRequirements requirements, List<BackendRow> available, long nowNanos) {
 		if (this.firstPromptNanos.isEmpty()) {
 			this.firstPromptNanos = OptionalLong.of(nowNanos);
 		}
@@ -139,7 +139,7 @@
 
 	// The server with the most tokens of the prompt prefix cached. A leaving server
 	// keeps its cache until it is terminated.
-	private Optional<CachingServer> findCachingServer(Wish requirements, long nowNanos) {
+	private Optional<CachingServer> findCachingServer(CallRequirements requirements, long nowNanos) {
 		List<BackendRow> rows = this.table.cacheCandidates(requirements.service())
 			.stream()
 			.filter((row) -> !row.isAvoided(nowNanos))
@@ -158,7 +158,7 @@
 	// prefixes for which they come first in the common order: with empty caches assumed,
 	// every prompt seemed to need a full prefill, and 200 calls were rejected within two
 	// seconds after all processes had been killed.
-	private Optional<CachingServer> assumedCachingServer(Wish requirements, List<BackendRow> rows, long nowNanos) {
+	private Optional<CachingServer> assumedCachingServer(CallRequirements requirements, List<BackendRow> rows, long nowNanos) {
 		boolean warmingUp = nowNanos - this.firstPromptNanos.getAsLong() < WARM_UP_NANOS;
 		return rows.stream()
 			.filter((row) -> warmingUp && row.registeredNanos.isEmpty())
@@ -166,7 +166,7 @@
 			.map((row) -> new CachingServer(row, requirements.prefix().tokens()));
 	}
 
-	private CostEstimate estimate(Wish requirements, BackendRow row, Optional<CachingServer> cachingServer) {
+	private CostEstimate estimate(CallRequirements requirements, BackendRow row, Optional<CachingServer> cachingServer) {
 		FirstTokenModel model = model(requirements.service());
 		boolean isCachingServer = cachingServer.isPresent() && cachingServer.get().row == row;
 		int cachedTokens = isCachingServer ? cachingServer.get().cachedTokens
@@ -174,7 +174,7 @@
 		int transferableTokens = cachingServer.map(CachingServer::cachedTokens).orElse(0) - cachedTokens;
 		double transferMillis = (transferableTokens > 0) ? requirements.transferMillis(transferableTokens)
 				: Double.POSITIVE_INFINITY;
-		boolean transfers = transferMillis < transferableTokens / model.tokensPerMilli();
+		boolean transfers = transferMillis < transferableTokens / model.prefillTokensPerMilli();
 		int promptTokens = requirements.ownTokens() + requirements.prefix().tokens();
 		long uncachedTokens = promptTokens - cachedTokens - (transfers ? transferableTokens : 0);
 		Work work = Work.of(row.uncachedTokens(), uncachedTokens, promptTokens, row.load());
@@ -200,7 +200,7 @@
 		return Map.copyOf(this.models);
 	}
 
-	private static long rank(Wish requirements, BackendRow row) {
+	private static long rank(CallRequirements requirements, BackendRow row) {
 		return Hashing.wyhashFinal4()
 			.hashCharsToLong(Long.toHexString(requirements.prefix().hash()) + '@' + row.server.id());
 	}
@@ -216,7 +216,7 @@
 	 * @param targetMillis the time left until the first token is due, in milliseconds
 	 * @param priority its priority, 0 for the most urgent
 	 */
-	public record Wish(String service, SharedParts prefix, Optional<EngineSpec> engine, int ownTokens,
+	public record CallRequirements(String service, PromptPrefix prefix, Optional<EngineSpec> engine, int ownTokens,
 			long targetMillis, int priority) {
 
 		/**
@@ -230,7 +230,7 @@
 		 * @param ran whether a server may have run the call
 		 * @return the time in milliseconds, never negative
 		 */
-		public static long millisLeft(long targetMillis, long remainingMillis, boolean ran) {
+		public static long remainingMillis(long targetMillis, long remainingMillis, boolean ran) {
 			return Math.max(0, ran ? remainingMillis : targetMillis);
 		}
 
@@ -248,15 +248,15 @@
 		 *
 		 * @param server the server
 		 * @param load its number of calls, of all processes
-		 * @param unreadTokens the prompt tokens that it has to prefill for the call
+		 * @param uncachedTokens the prompt tokens that it has to prefill for the call
 		 * @param expectedMillis the expected time to first token in milliseconds, 0 if
 		 * unknown
 		 * @param candidates the number of servers that were compared
-		 * @param fetchFrom the server from which missing segments are transferred, if any
+		 * @param transferSource the server from which missing segments are transferred, if any
 		 * @param work the work of the server until the first token, empty if unknown
 		 */
-		record Chosen(BackendServer server, int load, long unreadTokens, long expectedMillis, int candidates,
-				Optional<BackendServer> fetchFrom, Optional<Work> work) implements Choice {
+		record Chosen(BackendServer server, int load, long uncachedTokens, long expectedMillis, int candidates,
+				Optional<BackendServer> transferSource, Optional<Work> work) implements Choice {
 		}
 
 		/**
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/FirstTokenModel.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/FirstTokenModel.java
@@ -71,7 +71,7 @@
 	 * @param work the work of the server until its first token
 	 * @param millis the measured time to first token, in milliseconds
 	 */
-	public void learn(Work work, double millis) {
+	public void update(Work work, double millis) {
 		double expected = expectedMillis(work);
 		double bounded = Math.clamp(millis, expected / MAX_RATIO, expected * MAX_RATIO);
 		double[] features = work.features();
@@ -110,7 +110,7 @@
 	 * for engines that prefill 66.
 	 * @return the tokens prefilled per millisecond
 	 */
-	public double tokensPerMilli() {
+	public double prefillTokensPerMilli() {
 		return TYPICAL_FEATURES[1]
 				/ (TYPICAL_FEATURES[1] * this.coefficients[1] + TYPICAL_FEATURES[3] * this.coefficients[3]);
 	}
@@ -122,7 +122,7 @@
 	 * measurements.
 	 * @return the coefficients, empty while they rest on too few calls
 	 */
-	public List<Double> learned() {
+	public List<Double> fittedCoefficients() {
 		return (this.measuredCalls < MIN_CALLS) ? List.of() : Arrays.stream(this.coefficients).boxed().toList();
 	}
 
@@ -131,7 +131,7 @@
 	 * has enough measurements of its own.
 	 * @param peerCoefficients the coefficients of the other process
 	 */
-	public void adopt(List<Double> peerCoefficients) {
+	public void adoptCoefficients(List<Double> peerCoefficients) {
 		boolean valid = peerCoefficients.size() == FEATURE_COUNT && peerCoefficients.stream()
 			.allMatch((coefficient) -> coefficient > 0 && coefficient < MAX_COEFFICIENT);
 		if (valid && this.measuredCalls < MIN_CALLS) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartCache.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartCache.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-import org.rosemaryfront.dispatch.SharedParts.Part;
+import org.rosemaryfront.dispatch.PromptPrefix.Segment;
 
 /**
  * The most recently used prompt segments, which a server is assumed to have in its KV
@@ -28,8 +28,8 @@
 	 * @param cacheCapacityTokens the capacity of the server's KV cache, in tokens
 	 * @return true if the segment was not recorded before
 	 */
-	boolean add(Part segment, long cacheCapacityTokens) {
-		boolean present = this.segments.put(segment.chain(), segment.tokens()) != null;
+	boolean add(Segment segment, long cacheCapacityTokens) {
+		boolean present = this.segments.put(segment.prefixHash(), segment.tokens()) != null;
 		if (!present) {
 			this.tokens += segment.tokens();
 			evictBeyond((long) (cacheCapacityTokens * SHARED_FRACTION));
@@ -50,10 +50,10 @@
 	 * @param prefix the prompt prefix
 	 * @return the number of tokens before the first segment that is not cached
 	 */
-	int cachedTokens(SharedParts prefix) {
+	int cachedTokens(PromptPrefix prefix) {
 		int cached = 0;
-		for (Part segment : prefix.parts()) {
-			if (!this.segments.containsKey(segment.chain())) {
+		for (Segment segment : prefix.segments()) {
+			if (!this.segments.containsKey(segment.prefixHash())) {
 				return cached;
 			}
 			cached += segment.tokens();
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartNews.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartNews.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 
-import org.rosemaryfront.dispatch.BackendServer.Start;
-import org.rosemaryfront.dispatch.SharedParts.Part;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
+import org.rosemaryfront.dispatch.PromptPrefix.Segment;
 
 /**
  * Collects the segments that servers recently prefilled, to be reported to the other
@@ -25,7 +25,7 @@
 
 	private List<Entry> pending = new ArrayList<>();
 
-	void add(Start server, Part segment) {
+	void add(Incarnation server, Segment segment) {
 		if (this.pending.size() < MAX_NEW_SEGMENTS) {
 			this.pending.add(new Entry(server, segment));
 		}
@@ -35,8 +35,8 @@
 	 * Returns the segments for the next report.
 	 * @return the segments by server
 	 */
-	Map<Start, List<Part>> take() {
-		Map<Start, List<Part>> updates = new HashMap<>();
+	Map<Incarnation, List<Segment>> take() {
+		Map<Incarnation, List<Segment>> updates = new HashMap<>();
 		this.lastReported.forEach((entry) -> entry.addTo(updates));
 		this.pending.forEach((entry) -> entry.addTo(updates));
 		this.lastReported = this.pending;
@@ -44,9 +44,9 @@
 		return updates;
 	}
 
-	private record Entry(Start server, Part segment) {
+	private record Entry(Incarnation server, Segment segment) {
 
-		private void addTo(Map<Start, List<Part>> updates) {
+		private void addTo(Map<Incarnation, List<Segment>> updates) {
 			updates.computeIfAbsent(this.server, (_) -> new ArrayList<>()).add(this.segment);
 		}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/SharedParts.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PromptPrefix.java
@@ -10,14 +10,14 @@
  * engine that has a segment cached does not prefill it again if it also has all preceding
  * segments cached.
  *
- * @param parts the segments in order
+ * @param segments the segments in order
  */
-public record SharedParts(List<Part> parts) {
+public record PromptPrefix(List<Segment> segments) {
 
-	private static final SharedParts NONE = new SharedParts(List.of());
+	private static final PromptPrefix NONE = new PromptPrefix(List.of());
 
-	public SharedParts {
-		parts = List.copyOf(parts);
+	public PromptPrefix {
+		segments = List.copyOf(segments);
 	}
 
 	// -- factories
@@ -26,7 +26,7 @@
 	 * Returns the empty prompt prefix.
 	 * @return the empty prompt prefix
 	 */
-	public static SharedParts none() {
+	public static PromptPrefix none() {
 		return NONE;
 	}
 
@@ -36,14 +36,14 @@
 	 * @param tokens the sizes in order, in tokens
 	 * @return the prompt prefix
 	 */
-	public static SharedParts of(List<String> names, List<Integer> tokens) {
-		List<Part> parts = new ArrayList<>();
+	public static PromptPrefix of(List<String> names, List<Integer> tokens) {
+		List<Segment> parts = new ArrayList<>();
 		long prefixHash = 0;
 		for (int i = 0; i < names.size(); i++) {
 			prefixHash = Hashing.wyhashFinal4().hashCharsToLong(Long.toHexString(prefixHash) + '/' + names.get(i));
-			parts.add(new Part(prefixHash, tokens.get(i)));
+			parts.add(new Segment(prefixHash, tokens.get(i)));
 		}
-		return parts.isEmpty() ? NONE : new SharedParts(parts);
+		return parts.isEmpty() ? NONE : new PromptPrefix(parts);
 	}
 
 	// -- queries
@@ -53,7 +53,7 @@
 	 * @return the number of tokens
 	 */
 	public int tokens() {
-		return this.parts.stream().mapToInt(Part::tokens).sum();
+		return this.segments.stream().mapToInt(Segment::tokens).sum();
 	}
 
 	/**
@@ -61,16 +61,16 @@
 	 * @return the hash of the whole prefix, 0 if it is empty
 	 */
 	public long hash() {
-		return this.parts.isEmpty() ? 0 : this.parts.getLast().chain();
+		return this.segments.isEmpty() ? 0 : this.segments.getLast().prefixHash();
 	}
 
 	/**
 	 * A segment, identified together with all segments before it.
 	 *
-	 * @param chain the hash of the segment and all segments before it
+	 * @param prefixHash the hash of the segment and all segments before it
 	 * @param tokens the number of tokens of this segment alone
 	 */
-	public record Part(long chain, int tokens) {
+	public record Segment(long prefixHash, int tokens) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/RetryAllowance.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/RetryBudget.java
@@ -15,7 +15,7 @@
  * process keeps to that fraction of its own calls and to its share of a fixed allowance,
  * so that the total holds without coordination.
  */
-public final class RetryAllowance {
+public final class RetryBudget {
 
 	/**
 	 * The minimum number of shares of the fixed allowance: more than the number of
@@ -51,7 +51,7 @@
 	 * @param startedNanos when the process started, on the monotonic clock, in
 	 * nanoseconds
 	 */
-	public RetryAllowance(double retryRatio, double fixedRetries, long windowMillis, long startedNanos) {
+	public RetryBudget(double retryRatio, double fixedRetries, long windowMillis, long startedNanos) {
 		this.startedNanos = startedNanos;
 		this.retryRatio = retryRatio;
 		this.fixedRetries = fixedRetries;
@@ -64,7 +64,7 @@
 	 * retries as allowed.
 	 * @param count the number of processes, including this one
 	 */
-	public void processes(int count) {
+	public void setProcessCount(int count) {
 		this.shares = Math.max(MIN_SHARES, (int) Math.ceil(count * SHARES_PER_PROCESS));
 	}
 
@@ -73,7 +73,7 @@
 	 * @param service the service
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	public void first(String service, long nowNanos) {
+	public void recordFirstAttempt(String service, long nowNanos) {
 		attempts(service, nowNanos).firstAttempts.add(nowNanos);
 	}
 
@@ -83,7 +83,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return true if the call may be sent again
 	 */
-	public boolean take(String service, long nowNanos) {
+	public boolean tryAcquire(String service, long nowNanos) {
 		Attempts attempts = attempts(service, nowNanos);
 		boolean allowed = attempts.retries.size() + 1 <= this.retryRatio * attempts.firstAttempts.size()
 				+ availableFixedRetries(nowNanos);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizePlan.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/CapacityPlanner.java
@@ -19,7 +19,7 @@
  * and the calls running. It is distributed so that the remaining zones provide it when
  * all reclaimable VMs of one zone are reclaimed while no other VM is available.
  */
-public final class SizePlan {
+public final class CapacityPlanner {
 
 	/**
 	 * The planned utilisation of an engine's prefill time. Prompt lengths differ by a
@@ -168,7 +168,7 @@
 		if (nowNanos - this.initialUntilNanos.getAsLong() >= 0) {
 			return 0;
 		}
-		this.initialRequired = Math.max(this.initialRequired, demand.lasting() * INITIAL_FRACTION);
+		this.initialRequired = Math.max(this.initialRequired, demand.onDemand() * INITIAL_FRACTION);
 		return this.initialRequired;
 	}
 
@@ -203,18 +203,18 @@
 	 * @param serverTokensPerSecond the prompt tokens that one server prefills per second
 	 * in addition to its other work
 	 * @param runningCalls the number of running calls
-	 * @param lasting the number of its on-demand servers
+	 * @param onDemand the number of its on-demand servers
 	 */
-	public record Demand(double tokensPerSecond, double serverTokensPerSecond, int runningCalls, int lasting) {
+	public record Demand(double tokensPerSecond, double serverTokensPerSecond, int runningCalls, int onDemand) {
 	}
 
 	/**
 	 * The number of servers in a zone.
 	 *
-	 * @param lasting the number of servers on on-demand VMs
+	 * @param onDemand the number of servers on on-demand VMs
 	 * @param reclaimable the number of servers on reclaimable VMs
 	 */
-	public record ZoneSize(int lasting, int reclaimable) {
+	public record ZoneSize(int onDemand, int reclaimable) {
 
 		/** No servers. */
 		public static final ZoneSize NONE = new ZoneSize(0, 0);
@@ -224,7 +224,7 @@
 		 * @return the number of servers
 		 */
 		public int servers() {
-			return this.lasting + this.reclaimable;
+			return this.onDemand + this.reclaimable;
 		}
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/Size.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/PoolSize.java
@@ -8,7 +8,7 @@
  * @param servers the number of backend servers
  * @param reclaimable whether they run on reclaimable VMs
  */
-public record Size(String service, String zone, int servers, boolean reclaimable) {
+public record PoolSize(String service, String zone, int servers, boolean reclaimable) {
 
 	// Returns the pool to which the size applies.
 	Pool pool() {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/HeardUsage.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/ReceivedUsage.java
@@ -21,7 +21,7 @@
  * <p>
  * The name of a row begins with the name of its process followed by a slash.
  */
-public final class HeardUsage {
+public final class ReceivedUsage {
 
 	private final TreeMap<Long, ReceivedCounts> windows = new TreeMap<>();
 
@@ -34,7 +34,7 @@
 	 * its rows
 	 * @param counts the number of calls by organisation
 	 */
-	public void underWay(long window, String process, Map<String, Long> counts) {
+	public void recordCurrentCounts(long window, String process, Map<String, Long> counts) {
 		receivedCounts(window).countsByProcess.put(process, Map.copyOf(counts));
 	}
 
@@ -44,7 +44,7 @@
 	 * @param row the name of the row
 	 * @param counts the number of calls by organisation
 	 */
-	public void unwritten(long window, String row, Map<String, Long> counts) {
+	public void recordUnwrittenRow(long window, String row, Map<String, Long> counts) {
 		receivedCounts(window).unwrittenRows.put(row, Map.copyOf(counts));
 	}
 
@@ -52,7 +52,7 @@
 	 * Removes windows that are no longer needed for a report.
 	 * @param window the index of the oldest window to retain
 	 */
-	public void forgetBefore(long window) {
+	public void removeBefore(long window) {
 		this.windows.headMap(window).clear();
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/SizeOrders.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/ScalingOrders.java
@@ -7,9 +7,9 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-import org.rosemaryfront.duties.Size.Pool;
-import org.rosemaryfront.duties.SizePlan.Plan;
-import org.rosemaryfront.duties.SizePlan.ZoneSize;
+import org.rosemaryfront.duties.PoolSize.Pool;
+import org.rosemaryfront.duties.CapacityPlanner.Plan;
+import org.rosemaryfront.duties.CapacityPlanner.ZoneSize;
 import org.rosemaryfront.routes.ServiceSpec;
 
 /**
@@ -21,7 +21,7 @@
  * ones accept calls. While no reclaimable VM is available in a zone, missing servers are
  * replaced by on-demand VMs until reclaimable VMs are available again.
  */
-public final class SizeOrders {
+public final class ScalingOrders {
 
 	/**
 	 * The time after the boot time within which an ordered server must appear before it
@@ -55,18 +55,18 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the orders
 	 */
-	public List<Size> next(ServiceSpec service, Plan plan, Map<String, ZoneSize> present, long nowNanos) {
-		List<Size> sizes = new ArrayList<>();
+	public List<PoolSize> nextOrders(ServiceSpec service, Plan plan, Map<String, ZoneSize> present, long nowNanos) {
+		List<PoolSize> sizes = new ArrayList<>();
 		boolean shortage = isShortOfServers(plan, present);
 		plan.zones().forEach((zone, planned) -> {
 			int current = zoneSize(present, zone).reclaimable();
 			int requested = shortage ? Math.max(planned.reclaimable(), current) : planned.reclaimable();
-			order(service, new Size(service.name(), zone, requested, true), current, nowNanos).ifPresent(sizes::add);
+			nextOrder(service, new PoolSize(service.name(), zone, requested, true), current, nowNanos).ifPresent(sizes::add);
 		});
 		Fallback fallback = fallback(service, plan, present);
 		plan.zones().forEach((zone, planned) -> {
-			Size onDemand = new Size(service.name(), zone, planned.lasting() + fallback.serversIn(zone), false);
-			order(service, onDemand, zoneSize(present, zone).lasting(), nowNanos).ifPresent(sizes::add);
+			PoolSize onDemand = new PoolSize(service.name(), zone, planned.onDemand() + fallback.serversIn(zone), false);
+			nextOrder(service, onDemand, zoneSize(present, zone).onDemand(), nowNanos).ifPresent(sizes::add);
 		});
 		return sizes;
 	}
@@ -89,7 +89,7 @@
 		plan.zones().forEach((zone, planned) -> {
 			ZoneSize current = zoneSize(present, zone);
 			int missing = Math.max(0, planned.reclaimable() - current.reclaimable());
-			int retained = Math.clamp(current.lasting() - planned.lasting(), 0, missing);
+			int retained = Math.clamp(current.onDemand() - planned.onDemand(), 0, missing);
 			boolean refused = isRefused(reclaimable(service, zone, planned));
 			fallback.initZone(zone, retained, refused ? missing - retained : 0);
 		});
@@ -100,7 +100,7 @@
 		// beginning.
 		for (Map.Entry<String, ZoneSize> planned : plan.zones().entrySet()) {
 			String zone = planned.getKey();
-			int booting = lastOrderedServers(service, zone) - planned.getValue().lasting() - fallback.serversIn(zone);
+			int booting = lastOrderedServers(service, zone) - planned.getValue().onDemand() - fallback.serversIn(zone);
 			shortage -= fallback.add(zone, Math.clamp(booting, 0, shortage));
 		}
 		for (String zone : plan.zones().keySet()) {
@@ -127,8 +127,8 @@
 		return (last != null) ? last.size.servers() : 0;
 	}
 
-	private static Size reclaimable(ServiceSpec service, String zone, ZoneSize planned) {
-		return new Size(service.name(), zone, planned.reclaimable(), true);
+	private static PoolSize reclaimable(ServiceSpec service, String zone, ZoneSize planned) {
+		return new PoolSize(service.name(), zone, planned.reclaimable(), true);
 	}
 
 	/**
@@ -139,7 +139,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the order, empty if the size is already in force or ordered
 	 */
-	public Optional<Size> order(ServiceSpec service, Size size, int present, long nowNanos) {
+	public Optional<PoolSize> nextOrder(ServiceSpec service, PoolSize size, int present, long nowNanos) {
 		PlacedOrder last = this.placedOrders.get(size.pool());
 		boolean matches = present == size.servers();
 		if (last == null && matches) {
@@ -165,7 +165,7 @@
 	 * Records that an order was accepted.
 	 * @param size the order
 	 */
-	public void taken(Size size) {
+	public void recordAccepted(PoolSize size) {
 		findPlaced(size).ifPresent((order) -> order.refused = false);
 	}
 
@@ -176,7 +176,7 @@
 	 * available
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	public void failed(Size size, boolean noneAvailable, long nowNanos) {
+	public void recordFailure(PoolSize size, boolean noneAvailable, long nowNanos) {
 		findPlaced(size).ifPresent((order) -> {
 			order.failed = true;
 			order.refused |= noneAvailable;
@@ -187,12 +187,12 @@
 	// A repeated order is pending until its result arrives and keeps the refusal of the
 	// previous one. If a pending order counted as accepted, it would cancel the fallback
 	// servers every second, although they need four seconds to boot.
-	private boolean isRefused(Size size) {
+	private boolean isRefused(PoolSize size) {
 		PlacedOrder order = this.placedOrders.get(size.pool());
 		return order != null && order.refused;
 	}
 
-	private Optional<PlacedOrder> findPlaced(Size size) {
+	private Optional<PlacedOrder> findPlaced(PoolSize size) {
 		return Optional.ofNullable(this.placedOrders.get(size.pool())).filter((order) -> order.size.equals(size));
 	}
 
@@ -234,7 +234,7 @@
 	/** The last order of a pool. */
 	private static final class PlacedOrder {
 
-		private final Size size;
+		private final PoolSize size;
 
 		private final long placedNanos;
 
@@ -248,7 +248,7 @@
 		/** The maximum number of servers present since the order was placed. */
 		private int maxPresent;
 
-		private PlacedOrder(Size size, long nowNanos, boolean refused) {
+		private PlacedOrder(PoolSize size, long nowNanos, boolean refused) {
 			this.size = size;
 			this.placedNanos = nowNanos;
 			this.notBeforeNanos = nowNanos;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/UsageLedger.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/UsageLedger.java
@@ -35,7 +35,7 @@
 	 * @param organisation the organisation
 	 * @param epochMillis when the call began to run, in milliseconds since 1970
 	 */
-	public void began(String organisation, long epochMillis) {
+	public void recordStart(String organisation, long epochMillis) {
 		this.openWindows.computeIfAbsent(epochMillis / this.windowMillis, (_) -> new TreeMap<>())
 			.merge(organisation, 1L, Long::sum);
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/fleet/Fleet.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/fleet/Fleet.java
@@ -141,7 +141,7 @@
 	 * @param gateway the name of the gateway
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	public void found(String gateway, long nowNanos) {
+	public void addGateway(String gateway, long nowNanos) {
 		this.members.computeIfAbsent(gateway, (name) -> new Member(rank(name), nowNanos));
 	}
 
@@ -149,7 +149,7 @@
 	 * Records that the table of gateways was read, so that the gateways that may serve
 	 * are known.
 	 */
-	public void complete() {
+	public void gatewaysListed() {
 		this.membershipKnown = true;
 	}
 
@@ -159,7 +159,7 @@
 	 * one
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	public void told(int reportNumber, long nowNanos) {
+	public void reportSent(int reportNumber, long nowNanos) {
 		this.lastReportNumber = reportNumber;
 		this.sentNanos[reportNumber % RETAINED_REPORTS] = nowNanos;
 	}
@@ -170,10 +170,10 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the status of the report
 	 */
-	public Hearing heard(Report report, long nowNanos) {
+	public ReportStatus reportReceived(Report report, long nowNanos) {
 		Member member = this.members.computeIfAbsent(report.gateway(), (name) -> new Member(rank(name), nowNanos));
 		if (member.isLate(report)) {
-			return Hearing.LATE;
+			return ReportStatus.LATE;
 		}
 		boolean first = !member.reported || member.start != report.start();
 		if (member.reported && first) {
@@ -192,7 +192,7 @@
 			.map(Confirmation::number)
 			.orElse(0);
 		member.lastReportNanos = nowNanos;
-		return first ? Hearing.FIRST : Hearing.CURRENT;
+		return first ? ReportStatus.FIRST : ReportStatus.CURRENT;
 	}
 
 	/**
@@ -200,7 +200,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the gateways that have timed out since the last call
 	 */
-	public List<String> fallenSilent(long nowNanos) {
+	public List<String> timedOut(long nowNanos) {
 		List<String> unresponsive = this.members.entrySet()
 			.stream()
 			.filter((entry) -> entry.getValue().live
@@ -216,7 +216,7 @@
 	 * VM this process would take old reports for recent, since its monotonic clock was
 	 * stopped.
 	 */
-	public void forgetConfirmations() {
+	public void discardConfirmations() {
 		this.discardedUpTo = this.lastReportNumber;
 	}
 
@@ -236,9 +236,9 @@
 	/**
 	 * Returns whether a gateway reported recently and has not left.
 	 * @param gateway the name of the gateway
-	 * @return true until {@link #fallenSilent} returns the gateway
+	 * @return true until {@link #timedOut} returns the gateway
 	 */
-	public boolean isLiving(String gateway) {
+	public boolean isLive(String gateway) {
 		return Optional.ofNullable(this.members.get(gateway)).filter((member) -> member.live).isPresent();
 	}
 
@@ -246,7 +246,7 @@
 	 * Returns the report interval of a gateway, which is longer in a large fleet.
 	 * @return the interval in nanoseconds
 	 */
-	public long reportNanos() {
+	public long reportIntervalNanos() {
 		return Math.clamp(REPORT_INTERVAL_NANOS * (1 + this.members.size()) / SMALL_FLEET_SIZE, REPORT_INTERVAL_NANOS,
 				MAX_REPORT_INTERVAL_NANOS);
 	}
@@ -255,7 +255,7 @@
 	 * Returns the number of live gateways that this one knows.
 	 * @return the number, this gateway included
 	 */
-	public int living() {
+	public int liveCount() {
 		return 1 + count((member) -> member.live);
 	}
 
@@ -294,7 +294,7 @@
 				same &= member.group == group;
 			}
 		}
-		int serving = Math.max(confirming, serving(nowNanos));
+		int serving = Math.max(confirming, servingCount(nowNanos));
 		boolean agreed = isAgreed(same, nowNanos) || confirming >= AGREED_FRACTION * serving;
 		return new Sharing(serving, confirming, agreed, confirmed);
 	}
@@ -306,7 +306,7 @@
 	 * @return the number, this gateway included; a cautious assumption before the table
 	 * of gateways was read
 	 */
-	public int serving(long nowNanos) {
+	public int servingCount(long nowNanos) {
 		if (!this.membershipKnown) {
 			return ASSUMED_GATEWAYS;
 		}
@@ -349,7 +349,7 @@
 		boolean retained = member.confirmed > this.discardedUpTo
 				&& this.lastReportNumber - member.confirmed < RETAINED_REPORTS;
 		return member.mayServe() && retained && nowNanos
-				- this.sentNanos[member.confirmed % RETAINED_REPORTS] < CONFIRMATION_INTERVALS * reportNanos()
+				- this.sentNanos[member.confirmed % RETAINED_REPORTS] < CONFIRMATION_INTERVALS * reportIntervalNanos()
 						+ TRANSIT_TIME_NANOS;
 	}
 
@@ -383,7 +383,7 @@
 	}
 
 	/** The status of a received report. */
-	public enum Hearing {
+	public enum ReportStatus {
 
 		/** A later report, or one of a later start of its sender, was received before. */
 		LATE,
@@ -461,7 +461,7 @@
 		 * @param other the other sharing
 		 * @return true if the two differ at most in the confirmed report
 		 */
-		public boolean hasGroupOf(Sharing other) {
+		public boolean isSharedAs(Sharing other) {
 			return this.members == other.members && this.group == other.group && this.agreed == other.agreed;
 		}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseMachine.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseStateMachine.java
@@ -29,7 +29,7 @@
  * if (lease.mayOrder(System.nanoTime())) { send(order, lease.fence()); }
  * </pre>
  */
-public final class LeaseMachine {
+public final class LeaseStateMachine {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -44,7 +44,7 @@
 
 	private final String self;
 
-	private final LeaseTerms terms;
+	private final LeaseTiming terms;
 
 	private final SplittableRandom random;
 
@@ -102,7 +102,7 @@
 	/** When the latest announcement of another holder expires. */
 	private OptionalLong announcedUntilNanos = OptionalLong.empty();
 
-	private LeaseMachine(String self, LeaseTerms terms, long seed) {
+	private LeaseStateMachine(String self, LeaseTiming terms, long seed) {
 		this.self = self;
 		this.terms = terms;
 		this.random = new SplittableRandom(seed);
@@ -119,10 +119,10 @@
 	 * distinguish processes on the same VM, and must therefore differ between starts
 	 * @return the state machine
 	 */
-	public static LeaseMachine of(String self, LeaseTerms terms, long seed) {
+	public static LeaseStateMachine of(String self, LeaseTiming terms, long seed) {
 		Objects.requireNonNull(self, "self is null");
 		Objects.requireNonNull(terms, "terms is null");
-		return new LeaseMachine(self, terms, seed);
+		return new LeaseStateMachine(self, terms, seed);
 	}
 
 	// -- queries
@@ -149,7 +149,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return true if this process holds the lease and is not releasing it
 	 */
-	public boolean mayOrder(long nowNanos) {
+	public boolean maySendOrders(long nowNanos) {
 		return this.holding && !this.releasing && nowNanos - this.validUntilNanos < 0;
 	}
 
@@ -159,7 +159,7 @@
 	 * @return the time in nanoseconds, 0 if no order may be sent
 	 */
 	public long remainingNanos(long nowNanos) {
-		return mayOrder(nowNanos) ? this.validUntilNanos - nowNanos : 0;
+		return maySendOrders(nowNanos) ? this.validUntilNanos - nowNanos : 0;
 	}
 
 	/**
@@ -212,7 +212,7 @@
 	 * limited.
 	 * @param count the number of processes known to be alive
 	 */
-	public void processes(int count) {
+	public void setProcessCount(int count) {
 		this.processes = count;
 	}
 
@@ -222,7 +222,7 @@
 	 * row is postponed.
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	public void heldElsewhere(long nowNanos) {
+	public void holderAnnounced(long nowNanos) {
 		if (!this.holding) {
 			this.announcedUntilNanos = OptionalLong.of(nowNanos + ANNOUNCEMENT_TIMEOUT_NANOS);
 			this.nextReadNanos = nextReadTime(nowNanos);
@@ -244,7 +244,7 @@
 	 * of this process, the lease is lost.
 	 * @param fence the fencing number
 	 */
-	public void fenceSeen(long fence) {
+	public void observeFence(long fence) {
 		this.highestFence = Math.max(this.highestFence, fence);
 		if (fence > this.heldFence) {
 			this.holding = false;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseTerms.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseTiming.java
@@ -16,14 +16,14 @@
  * @param requestTimeoutNanos the time after which a read or write without a response is
  * treated as failed, a write with unknown outcome
  */
-public record LeaseTerms(long termNanos, long marginNanos, long renewalIntervalNanos, long readIntervalNanos,
+public record LeaseTiming(long termNanos, long marginNanos, long renewalIntervalNanos, long readIntervalNanos,
 		long retryIntervalNanos, long requestTimeoutNanos) {
 
 	private static final int RENEWALS_PER_TERM = 4;
 
 	private static final int RETRIES_PER_TERM = 20;
 
-	public LeaseTerms {
+	public LeaseTiming {
 		if (marginNanos < 0 || marginNanos >= termNanos) {
 			throw new IllegalArgumentException("the margin must not be negative and must be shorter than the term");
 		}
@@ -35,9 +35,9 @@
 	 * @param margin how long before the end of the term its holder stops acting
 	 * @return the durations
 	 */
-	public static LeaseTerms of(Duration term, Duration margin) {
+	public static LeaseTiming of(Duration term, Duration margin) {
 		long nanos = term.toNanos();
-		return new LeaseTerms(nanos, margin.toNanos(), nanos / RENEWALS_PER_TERM, nanos / RENEWALS_PER_TERM,
+		return new LeaseTiming(nanos, margin.toNanos(), nanos / RENEWALS_PER_TERM, nanos / RENEWALS_PER_TERM,
 				nanos / RETRIES_PER_TERM, nanos / RENEWALS_PER_TERM);
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/Account.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/Account.java
@@ -142,7 +142,7 @@
 		return this.remoteUses.values()
 			.stream()
 			.filter((remote) -> nowNanos - remote.atNanos < REQUEST_PERIOD_NANOS)
-			.mapToDouble((remote) -> remote.use.asked())
+			.mapToDouble((remote) -> remote.use.requested())
 			.sum();
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/QuotaTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/QuotaTable.java
@@ -100,7 +100,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return whether the units were taken, with the values that decided it
 	 */
-	public Taking take(Organisation organisation, double units, long nowNanos) {
+	public QuotaDecision take(Organisation organisation, double units, long nowNanos) {
 		Account account = account(organisation.name());
 		account.expire(nowNanos);
 		account.reportConfirmed(this.sharing.confirmed());
@@ -111,11 +111,11 @@
 		if (wait == 0) {
 			account.take(units, nowNanos);
 		}
-		return new Taking(wait, account.usedInWindow(), request.limit(), account.unconfirmed(), this.sharing);
+		return new QuotaDecision(wait, account.usedInWindow(), request.limit(), account.unconfirmed(), this.sharing);
 	}
 
 	private long waitMillis(Account account, UnitRequest request, long nowNanos) {
-		account.refill(request.window(), isFresh(nowNanos) ? START_FRACTION : 0, request.slack(), nowNanos);
+		account.refill(request.window(), isInFirstWindow(nowNanos) ? START_FRACTION : 0, request.slack(), nowNanos);
 		boolean reserves = !request.small() && account.hadSmallCall(nowNanos);
 		double allowed = request.limit() - request.units() - (reserves ? request.window() * SMALL_CALL_RESERVE : 0);
 		long wait = Math.max(windowWaitMillis(account, allowed, request, nowNanos),
@@ -175,7 +175,7 @@
 	 * @param report the number of the report
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	public void told(int report, long nowNanos) {
+	public void reportSent(int report, long nowNanos) {
 		this.accounts.values().forEach((account) -> account.reportSent(report, nowNanos));
 	}
 
@@ -199,7 +199,7 @@
 	 * units there
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	public void usedByOther(String process, Map<String, Use> uses, long nowNanos) {
+	public void reportReceived(String process, Map<String, Use> uses, long nowNanos) {
 		boolean known = !this.reportingProcesses.add(process);
 		uses.forEach((organisation, use) -> account(organisation).reportReceived(process, use, known, nowNanos));
 	}
@@ -210,12 +210,12 @@
 	 * @return the use by organisation, without organisations that never requested units
 	 * here
 	 */
-	public Map<String, Use> used(long nowNanos) {
-		boolean inFirstWindow = isFresh(nowNanos);
+	public Map<String, Use> useToReport(long nowNanos) {
+		boolean inFirstWindow = isInFirstWindow(nowNanos);
 		Map<String, Use> used = new HashMap<>();
 		this.accounts.forEach((name, account) -> {
 			Use use = account.use(inFirstWindow, nowNanos);
-			if (use.units() > 0 || use.asked() > 0) {
+			if (use.units() > 0 || use.requested() > 0) {
 				used.put(name, use);
 			}
 		});
@@ -227,7 +227,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return true during the first window
 	 */
-	public boolean isFresh(long nowNanos) {
+	public boolean isInFirstWindow(long nowNanos) {
 		return nowNanos - this.startedNanos < this.windowNanos;
 	}
 
@@ -248,7 +248,7 @@
 	// window a process takes into account that the limit grows.
 	private long windowWaitMillis(Account account, double allowed, UnitRequest request, long nowNanos) {
 		long wait = account.windowWaitMillis(allowed, nowNanos);
-		if (wait == 0 || !isFresh(nowNanos)) {
+		if (wait == 0 || !isInFirstWindow(nowNanos)) {
 			return wait;
 		}
 		double missing = account.usedInWindow() - allowed;
@@ -259,7 +259,7 @@
 	// The limit of the window is not raised: what is used in one burst counts towards
 	// it.
 	private double slack(Organisation organisation) {
-		boolean countsTokens = organisation.counts() == Organisation.Counts.TOKENS;
+		boolean countsTokens = organisation.quotaUnit() == Organisation.QuotaUnit.TOKENS;
 		return countsTokens ? this.sharing.fraction() * this.slackUnits * SLACK_FRACTION : 0;
 	}
 
@@ -292,18 +292,18 @@
 	 * confirmed
 	 * @param sharing how the quota was shared
 	 */
-	public record Taking(long waitMillis, double used, double limit, double unconfirmed, Sharing sharing) {
+	public record QuotaDecision(long waitMillis, double used, double limit, double unconfirmed, Sharing sharing) {
 	}
 
 	/**
 	 * The use of an organisation that a process reports.
 	 *
 	 * @param units the units used since the process started
-	 * @param asked the units requested there within the last second, including refused
+	 * @param requested the units requested there within the last second, including refused
 	 * ones
 	 * @param inFirstWindow whether the process started less than a window ago
 	 */
-	public record Use(double units, double asked, boolean inFirstWindow) {
+	public record Use(double units, double requested, boolean inFirstWindow) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/LatencyReference.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/LatencyBaseline.java
@@ -7,7 +7,7 @@
  * Classifies calls as slow by comparison with the latency of the baseline version on the
  * same route, as observed by this process.
  */
-public final class LatencyReference {
+public final class LatencyBaseline {
 
 	/** The ratio to the baseline latency above which a call is slow. */
 	private static final double SLOW_FACTOR = 2.5;
@@ -20,15 +20,15 @@
 
 	private final Map<String, RouteBaseline> routes = new HashMap<>();
 
-	private LatencyReference() {
+	private LatencyBaseline() {
 	}
 
 	/**
 	 * Creates a reference without any calls.
 	 * @return the reference
 	 */
-	public static LatencyReference empty() {
-		return new LatencyReference();
+	public static LatencyBaseline empty() {
+		return new LatencyBaseline();
 	}
 
 	/**
@@ -40,7 +40,7 @@
 	 * one
 	 * @return true if the call was slow
 	 */
-	public boolean isSlow(String route, boolean isCandidate, double ratio) {
+	public boolean recordCall(String route, boolean isCandidate, double ratio) {
 		RouteBaseline baseline = this.routes.computeIfAbsent(route, (_) -> new RouteBaseline());
 		double logRatio = Math.log(Math.max(ratio, Double.MIN_NORMAL));
 		boolean slow = baseline.calls >= MIN_CALLS && logRatio > baseline.meanLog + Math.log(SLOW_FACTOR);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Phase.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Phase.java
@@ -30,7 +30,7 @@
 	 * @param next the other phase
 	 * @return false for the same or an earlier phase, and if this phase is final
 	 */
-	public boolean leadsTo(Phase next) {
+	public boolean canAdvanceTo(Phase next) {
 		return !isFinal() && next.ordinal() > ordinal();
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Rollout.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Rollout.java
@@ -38,7 +38,7 @@
 
 	private final RolloutEvaluator evaluator;
 
-	private final Map<String, Tally> own = new HashMap<>();
+	private final Map<String, Tally> ownTallies = new HashMap<>();
 
 	/** The latest tallies, by process and route. */
 	private final Map<String, Map<String, Tally>> reported = new HashMap<>();
@@ -78,11 +78,11 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return whether the phase changed
 	 */
-	public boolean said(Phase next, long nowNanos) {
-		if (next == this.phase || this.phase.leadsTo(next)) {
+	public boolean phaseAnnounced(Phase next, long nowNanos) {
+		if (next == this.phase || this.phase.canAdvanceTo(next)) {
 			this.announcedNanos = OptionalLong.of(nowNanos);
 		}
-		boolean changed = this.phase.leadsTo(next);
+		boolean changed = this.phase.canAdvanceTo(next);
 		this.phase = changed ? next : this.phase;
 		return changed;
 	}
@@ -93,8 +93,8 @@
 	 * @param candidate whether the candidate version served the call
 	 * @param failing whether the call failed or was slow
 	 */
-	public void ended(String route, boolean candidate, boolean failing) {
-		this.own.merge(route, Tally.NONE.plus(candidate, failing), (before, _) -> before.plus(candidate, failing));
+	public void recordCall(String route, boolean candidate, boolean failing) {
+		this.ownTallies.merge(route, Tally.NONE.plus(candidate, failing), (before, _) -> before.plus(candidate, failing));
 	}
 
 	/**
@@ -104,7 +104,7 @@
 	 * @param totals the tallies by route
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	public void counted(String process, Map<String, Tally> totals, long nowNanos) {
+	public void recordReport(String process, Map<String, Tally> totals, long nowNanos) {
 		Map<String, Tally> before = this.reported.getOrDefault(process, Map.of());
 		totals.forEach((route, total) -> this.evaluator.observe(route,
 				total.minus(before.getOrDefault(route, Tally.NONE)), nowNanos));
@@ -121,19 +121,19 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the rules, in the order in which they are tried
 	 */
-	public List<Versions> versions(Collection<BackendServer> servers, boolean isRetry, double draw, long nowNanos) {
-		List<BackendServer> candidate = servers.stream().filter(this::isFresh).toList();
+	public List<VersionRule> versionRules(Collection<BackendServer> servers, boolean isRetry, double draw, long nowNanos) {
+		List<BackendServer> candidate = servers.stream().filter(this::isCandidate).toList();
 		if (candidate.isEmpty() || candidate.size() == servers.size()) {
-			return List.of(Versions.any());
+			return List.of(VersionRule.any());
 		}
-		Versions fallback = Versions.without(this.order.to());
+		VersionRule fallback = VersionRule.without(this.order.targetVersion());
 		return switch (this.phase) {
-			case SUCCEEDED -> List.of(Versions.only(this.order.to()), fallback);
+			case SUCCEEDED -> List.of(VersionRule.only(this.order.targetVersion()), fallback);
 			case ROLLED_BACK -> List.of(fallback);
 			case MOVING ->
-				mayUseCandidate(nowNanos) ? List.of(Versions.only(this.order.to()), fallback) : List.of(fallback);
+				mayUseCandidate(nowNanos) ? List.of(VersionRule.only(this.order.targetVersion()), fallback) : List.of(fallback);
 			case TRIAL -> (!isRetry && draw < this.trialShare && mayUseCandidate(nowNanos))
-					? List.of(Versions.trial(trialServers(candidate)), fallback) : List.of(fallback);
+					? List.of(VersionRule.trial(trialServers(candidate)), fallback) : List.of(fallback);
 		};
 	}
 
@@ -160,8 +160,8 @@
 	 * @param server the server
 	 * @return true if it runs the candidate version
 	 */
-	public boolean isFresh(BackendServer server) {
-		return server.version().equals(this.order.to());
+	public boolean isCandidate(BackendServer server) {
+		return server.version().equals(this.order.targetVersion());
 	}
 
 	/**
@@ -170,8 +170,8 @@
 	 * @return true for servers of the candidate version once the calls move to it, and
 	 * for servers of other versions before that or after a rollback
 	 */
-	public boolean counts(BackendServer server) {
-		return isFresh(server) == (this.phase == Phase.SUCCEEDED || this.phase == Phase.MOVING);
+	public boolean countsTowardsCapacity(BackendServer server) {
+		return isCandidate(server) == (this.phase == Phase.SUCCEEDED || this.phase == Phase.MOVING);
 	}
 
 	/**
@@ -186,8 +186,8 @@
 	 * Returns the calls that this process has counted.
 	 * @return the tallies by route
 	 */
-	public Map<String, Tally> own() {
-		return Map.copyOf(this.own);
+	public Map<String, Tally> ownTallies() {
+		return Map.copyOf(this.ownTallies);
 	}
 
 	/**
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutPlan.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutPlan.java
@@ -44,7 +44,7 @@
 	 * @return the next phase, empty if the phase does not change
 	 */
 	public static Optional<Phase> next(RolloutOrder order, Phase phase, Verdict verdict, long sinceOrderMillis,
-			Servers servers) {
+			ServerCounts servers) {
 		if (phase.isFinal()) {
 			return Optional.empty();
 		}
@@ -57,7 +57,7 @@
 	}
 
 	private static Optional<Phase> fromTrial(RolloutOrder order, Verdict verdict, long remainingMillis,
-			Servers servers) {
+			ServerCounts servers) {
 		if (servers.hasOnlyCandidates()) {
 			return Optional.of(Phase.SUCCEEDED);
 		}
@@ -71,29 +71,29 @@
 
 	// Baseline servers stop immediately once the roll-out has succeeded, which would
 	// abort the calls that they still run.
-	private static Optional<Phase> fromMoving(long remainingMillis, Servers servers) {
-		if (servers.fresh() == 0) {
+	private static Optional<Phase> fromMoving(long remainingMillis, ServerCounts servers) {
+		if (servers.candidate() == 0) {
 			return Optional.of(Phase.ROLLED_BACK);
 		}
-		return (servers.oldCalls() == 0 || remainingMillis <= COMPLETION_MARGIN_MILLIS) ? Optional.of(Phase.SUCCEEDED)
+		return (servers.baselineCalls() == 0 || remainingMillis <= COMPLETION_MARGIN_MILLIS) ? Optional.of(Phase.SUCCEEDED)
 				: Optional.empty();
 	}
 
 	/**
 	 * The numbers of a service's servers that are not leaving, and of their calls.
 	 *
-	 * @param fresh the number of servers of the candidate version
-	 * @param old the number of servers of other versions
-	 * @param oldCalls the number of calls that run on servers of other versions
+	 * @param candidate the number of servers of the candidate version
+	 * @param baseline the number of servers of other versions
+	 * @param baselineCalls the number of calls that run on servers of other versions
 	 */
-	public record Servers(int fresh, int old, int oldCalls) {
+	public record ServerCounts(int candidate, int baseline, int baselineCalls) {
 
 		private boolean hasOnlyCandidates() {
-			return this.old == 0 && this.fresh > 0;
+			return this.baseline == 0 && this.candidate > 0;
 		}
 
 		private boolean hasEnoughCandidates() {
-			return this.fresh > 0 && this.fresh >= MIN_SERVER_RATIO * this.old;
+			return this.candidate > 0 && this.candidate >= MIN_SERVER_RATIO * this.baseline;
 		}
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutTable.java
@@ -33,7 +33,7 @@
 	 * @param order the order
 	 * @return whether the order was added
 	 */
-	public boolean ordered(RolloutOrder order) {
+	public boolean addOrder(RolloutOrder order) {
 		Rollout current = this.rollouts.get(order.service());
 		if (current != null && !supersedes(order, current)) {
 			return false;
@@ -44,7 +44,7 @@
 
 	private static boolean supersedes(RolloutOrder order, Rollout current) {
 		boolean newer = order.number() > current.order().number();
-		boolean isDuplicate = order.to().equals(current.order().to()) && !current.phase().isFinal();
+		boolean isDuplicate = order.targetVersion().equals(current.order().targetVersion()) && !current.phase().isFinal();
 		return newer && !isDuplicate;
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/SequentialEvaluator.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/SequentialEvaluator.java
@@ -74,12 +74,12 @@
 	@Override
 	public void observe(String route, Tally calls, long nowNanos) {
 		LikelihoodRatioTest test = this.routes.computeIfAbsent(route, (_) -> new LikelihoodRatioTest());
-		test.addBaseline(calls.old(), nowNanos);
-		this.all.addBaseline(calls.old(), nowNanos);
+		test.addBaseline(calls.baseline(), nowNanos);
+		this.all.addBaseline(calls.baseline(), nowNanos);
 		double baselineShare = test.baselineFailingShare();
-		test.addCandidate(calls.fresh(), baselineShare);
+		test.addCandidate(calls.candidate(), baselineShare);
 		// The route's share is used since the versions may get different mixes of routes.
-		this.all.addCandidate(calls.fresh(), baselineShare);
+		this.all.addCandidate(calls.candidate(), baselineShare);
 		this.failing |= test.cumulativeSum >= FAILING_NATS || this.all.cumulativeSum >= FAILING_NATS;
 	}
 
@@ -118,7 +118,7 @@
 			double decay = Math.pow(DECAY_PER_SECOND, Math.max(0, nowNanos - this.decayedNanos) / NANOS_PER_SECOND);
 			this.decayedNanos = nowNanos;
 			this.baselineCalls = this.baselineCalls * decay + counts.calls();
-			this.baselineFailingCalls = this.baselineFailingCalls * decay + Math.min(counts.calls(), counts.bad());
+			this.baselineFailingCalls = this.baselineFailingCalls * decay + Math.min(counts.calls(), counts.failing());
 		}
 
 		private double baselineFailingShare() {
@@ -128,7 +128,7 @@
 
 		private void addCandidate(Tally.Counts counts, double baselineShare) {
 			double worseShare = baselineShare + MIN_DETECTED_INCREASE;
-			double step = counts.bad() * Math.log(worseShare / baselineShare)
+			double step = counts.failing() * Math.log(worseShare / baselineShare)
 					+ counts.passing() * Math.log((1 - worseShare) / (1 - baselineShare));
 			this.candidateCalls += counts.calls();
 			this.logLikelihoodRatio += step;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Tally.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Tally.java
@@ -3,10 +3,10 @@
 /**
  * The calls of one route that a process has counted since it received the order.
  *
- * @param fresh the calls of the candidate version
- * @param old the calls of other versions
+ * @param candidate the calls of the candidate version
+ * @param baseline the calls of other versions
  */
-public record Tally(Counts fresh, Counts old) {
+public record Tally(Counts candidate, Counts baseline) {
 
 	/** A tally without any calls. */
 	public static final Tally NONE = new Tally(Counts.NONE, Counts.NONE);
@@ -18,8 +18,8 @@
 	 * @return the new tally
 	 */
 	public Tally plus(boolean isCandidate, boolean isFailing) {
-		return isCandidate ? new Tally(this.fresh.plus(isFailing), this.old)
-				: new Tally(this.fresh, this.old.plus(isFailing));
+		return isCandidate ? new Tally(this.candidate.plus(isFailing), this.baseline)
+				: new Tally(this.candidate, this.baseline.plus(isFailing));
 	}
 
 	/**
@@ -28,26 +28,26 @@
 	 * @return the difference
 	 */
 	public Tally minus(Tally earlier) {
-		return new Tally(this.fresh.minus(earlier.fresh), this.old.minus(earlier.old));
+		return new Tally(this.candidate.minus(earlier.candidate), this.baseline.minus(earlier.baseline));
 	}
 
 	/**
 	 * The number of calls, and how many of them failed or were slow.
 	 *
 	 * @param calls the number of all calls
-	 * @param bad the number of calls that failed or were slow
+	 * @param failing the number of calls that failed or were slow
 	 */
-	public record Counts(long calls, long bad) {
+	public record Counts(long calls, long failing) {
 
 		/** Counts without any calls. */
 		public static final Counts NONE = new Counts(0, 0);
 
 		private Counts plus(boolean isFailing) {
-			return new Counts(this.calls + 1, this.bad + (isFailing ? 1 : 0));
+			return new Counts(this.calls + 1, this.failing + (isFailing ? 1 : 0));
 		}
 
 		private Counts minus(Counts earlier) {
-			return new Counts(Math.max(0, this.calls - earlier.calls), Math.max(0, this.bad - earlier.bad));
+			return new Counts(Math.max(0, this.calls - earlier.calls), Math.max(0, this.failing - earlier.failing));
 		}
 
 		/**
@@ -55,7 +55,7 @@
 		 * @return the number of calls
 		 */
 		public long passing() {
-			return Math.max(0, this.calls - this.bad);
+			return Math.max(0, this.calls - this.failing);
 		}
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Versions.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/VersionRule.java
@@ -5,13 +5,13 @@
 import org.rosemaryfront.dispatch.BackendServer;
 
 /** A rule that restricts a call to servers of some versions of a service. */
-public sealed interface Versions {
+public sealed interface VersionRule {
 
 	/**
 	 * Returns a rule that allows all versions.
 	 * @return the rule
 	 */
-	static Versions any() {
+	static VersionRule any() {
 		return new Any();
 	}
 
@@ -20,7 +20,7 @@
 	 * @param version the version
 	 * @return the rule
 	 */
-	static Versions only(String version) {
+	static VersionRule only(String version) {
 		return new Only(version);
 	}
 
@@ -29,7 +29,7 @@
 	 * @param version the excluded version
 	 * @return the rule
 	 */
-	static Versions without(String version) {
+	static VersionRule without(String version) {
 		return new Without(version);
 	}
 
@@ -39,7 +39,7 @@
 	 * @param servers the ids of the servers
 	 * @return the rule
 	 */
-	static Versions trial(Set<String> servers) {
+	static VersionRule trial(Set<String> servers) {
 		return new Trial(servers);
 	}
 
@@ -58,7 +58,7 @@
 	}
 
 	/** Allows all versions. */
-	record Any() implements Versions {
+	record Any() implements VersionRule {
 	}
 
 	/**
@@ -66,7 +66,7 @@
 	 *
 	 * @param version the version
 	 */
-	record Only(String version) implements Versions {
+	record Only(String version) implements VersionRule {
 	}
 
 	/**
@@ -74,7 +74,7 @@
 	 *
 	 * @param version the excluded version
 	 */
-	record Without(String version) implements Versions {
+	record Without(String version) implements VersionRule {
 	}
 
 	/**
@@ -82,7 +82,7 @@
 	 *
 	 * @param servers the ids of the servers
 	 */
-	record Trial(Set<String> servers) implements Versions {
+	record Trial(Set<String> servers) implements VersionRule {
 
 		public Trial {
 			servers = Set.copyOf(servers);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/Organisation.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/Organisation.java
@@ -11,18 +11,18 @@
  * @param priority the priority of its calls, which overrides the priority of the route
  * @param unitsPerSecond the quota in units per second, 0 for none; see {@code counts}
  * @param burst the number of units that may be used in one burst in addition to the rate
- * @param counts the unit of the quota
- * @param plainTokens the number of tokens charged for a call without token counts
+ * @param quotaUnit the unit of the quota
+ * @param defaultTokens the number of tokens charged for a call without token counts
  */
 public record Organisation(String name, List<String> keys, OptionalInt priority, double unitsPerSecond, double burst,
-		Counts counts, int plainTokens) {
+		QuotaUnit quotaUnit, int defaultTokens) {
 
 	public Organisation {
 		keys = List.copyOf(keys);
 	}
 
 	/** The unit of a quota. */
-	public enum Counts {
+	public enum QuotaUnit {
 
 		/** Requests. */
 		REQUESTS,
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/Route.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/Route.java
@@ -15,11 +15,11 @@
  * @param priority the priority, 0 for the most urgent
  * @param targets the services that share the calls, never empty
  * @param maxAttempts the maximum number of backend servers to which one call is sent
- * @param open whether callers need no API key
+ * @param keyless whether callers need no API key
  * @param resumable whether a stream may be resumed at another backend server
  */
 public record Route(String name, String host, String prefix, CallKind kind, long timeoutMillis, long targetMillis,
-		int priority, List<Target> targets, int maxAttempts, boolean open, boolean resumable) {
+		int priority, List<Target> targets, int maxAttempts, boolean keyless, boolean resumable) {
 
 	public Route {
 		Objects.requireNonNull(kind, "kind is null");
@@ -33,7 +33,7 @@
 	 * Returns whether a call that may have run may be sent again.
 	 * @return true for idempotent calls and for streams that can be resumed
 	 */
-	public boolean repeatable() {
+	public boolean retryable() {
 		return this.kind == CallKind.IDEMPOTENT || (this.kind == CallKind.STREAMING && this.resumable);
 	}
 
@@ -42,7 +42,7 @@
 	 * @param draw a random number from 0 (inclusive) to 1 (exclusive)
 	 * @return the name of the service
 	 */
-	public String service(double draw) {
+	public String selectService(double draw) {
 		double total = this.targets.stream().mapToDouble(Target::weight).sum();
 		double remaining = draw * total;
 		for (Target target : this.targets) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/ServiceSpec.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/routes/ServiceSpec.java
@@ -18,12 +18,12 @@
 	 * The parameters of a model engine.
 	 *
 	 * @param slots the maximum number of requests that it runs concurrently
-	 * @param kvTokens the capacity of its KV cache, in tokens
+	 * @param kvCacheTokens the capacity of its KV cache, in tokens
 	 * @param tokenBytes the size of a token in the KV cache, in bytes; 0 if unknown
 	 * @param linkMegabitsPerSecond the transfer rate to another engine, in megabits per
 	 * second; 0 if unknown
 	 */
-	public record EngineSpec(int slots, long kvTokens, long tokenBytes, double linkMegabitsPerSecond) {
+	public record EngineSpec(int slots, long kvCacheTokens, long tokenBytes, double linkMegabitsPerSecond) {
 
 		/**
 		 * The minimum duration of a transfer from another engine, in milliseconds: a few
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/Freshness.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/Freshness.java
@@ -29,7 +29,7 @@
 	private OptionalLong confirmedNanos = OptionalLong.empty();
 
 	/** When the last outage of the store ended. */
-	private OptionalLong returnedNanos = OptionalLong.empty();
+	private OptionalLong outageEndNanos = OptionalLong.empty();
 
 	/** When the process last resumed after a pause. */
 	private OptionalLong resumedNanos = OptionalLong.empty();
@@ -46,7 +46,7 @@
 	 * counts as having been unavailable in between, in nanoseconds
 	 * @return the freshness
 	 */
-	public static Freshness unproven(long outageNanos) {
+	public static Freshness unconfirmed(long outageNanos) {
 		return new Freshness(outageNanos);
 	}
 
@@ -74,7 +74,7 @@
 	private void noteOutage(long atNanos) {
 		boolean outage = this.confirmedNanos.isPresent()
 				&& atNanos - this.confirmedNanos.getAsLong() >= this.outageNanos;
-		this.returnedNanos = outage ? OptionalLong.of(atNanos) : this.returnedNanos;
+		this.outageEndNanos = outage ? OptionalLong.of(atNanos) : this.outageEndNanos;
 	}
 
 	/**
@@ -114,8 +114,8 @@
 	 * outage may only have expired, since they could not be renewed.
 	 * @return the end of the last outage, on the monotonic clock, empty if there was none
 	 */
-	public synchronized OptionalLong returnedNanos() {
-		return this.returnedNanos;
+	public synchronized OptionalLong outageEndNanos() {
+		return this.outageEndNanos;
 	}
 
 	/**
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/FreshnessLimits.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/FreshnessLimits.java
@@ -44,7 +44,7 @@
 	 * Returns the default limits.
 	 * @return the limits
 	 */
-	public static FreshnessLimits usual() {
+	public static FreshnessLimits defaults() {
 		return within(DEFAULT_BOUND_MILLIS);
 	}
 
@@ -64,7 +64,7 @@
 	 * @param factor the factor
 	 * @return the longer limits
 	 */
-	public FreshnessLimits times(int factor) {
+	public FreshnessLimits multipliedBy(int factor) {
 		return new FreshnessLimits(this.firstNanos * factor, this.standByNanos * factor, this.restingNanos * factor,
 				this.ownNanos * factor, this.spreadNanos * factor);
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/TableFollower.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/TableFollower.java
@@ -9,7 +9,7 @@
 import java.util.function.DoubleSupplier;
 
 import org.rosemaryfront.tables.Freshness.Source;
-import org.rosemaryfront.tables.Question.Asked;
+import org.rosemaryfront.tables.TableQuery.Sent;
 
 /**
  * Decides which queries to send to keep a local copy of a table of the store up to date,
@@ -87,7 +87,7 @@
 	private Role role = Role.STAND_BY;
 
 	/** The confirmations that this gateway received from the store itself. */
-	private final Freshness ownFreshness = Freshness.unproven(Long.MAX_VALUE);
+	private final Freshness ownFreshness = Freshness.unconfirmed(Long.MAX_VALUE);
 
 	private long version;
 
@@ -97,7 +97,7 @@
 	private Optional<Long> nextWholeTableNanos = Optional.empty();
 
 	/** The pending query for changes. */
-	private Optional<Asked> feed = Optional.empty();
+	private Optional<Sent> feed = Optional.empty();
 
 	private Optional<Long> nextFeedNanos = Optional.empty();
 
@@ -141,9 +141,9 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the queries to send now
 	 */
-	public List<Asked> tick(Role newRole, long nowNanos) {
+	public List<Sent> tick(Role newRole, long nowNanos) {
 		this.role = newRole;
-		List<Asked> queries = new ArrayList<>();
+		List<Sent> queries = new ArrayList<>();
 		if (this.wholeTableNeeded) {
 			addWholeTableQuery(queries, nowNanos);
 		}
@@ -155,37 +155,37 @@
 		return queries;
 	}
 
-	private void addWholeTableQuery(List<Asked> queries, long nowNanos) {
+	private void addWholeTableQuery(List<Sent> queries, long nowNanos) {
 		if (isDue(this.nextWholeTableNanos, nowNanos)) {
 			this.nextWholeTableNanos = Optional.of(nowNanos + WHOLE_TABLE_RETRY_INTERVAL_NANOS);
-			queries.add(new Asked(new Question.Whole(), nowNanos));
+			queries.add(new Sent(new TableQuery.FullTable(), nowNanos));
 			recordUnanswered(nowNanos);
 		}
 	}
 
-	private void addFeed(List<Asked> queries, long nowNanos) {
+	private void addFeed(List<Sent> queries, long nowNanos) {
 		if (this.role.reads() && this.feed.isEmpty() && isDue(this.nextFeedNanos, nowNanos)) {
-			this.feed = Optional.of(new Asked(new Question.Feed(this.version, FEED_WAIT_NANOS), nowNanos));
+			this.feed = Optional.of(new Sent(new TableQuery.Feed(this.version, FEED_WAIT_NANOS), nowNanos));
 			queries.add(this.feed.get());
 		}
 	}
 
-	private void addCheck(List<Asked> queries, long nowNanos) {
+	private void addCheck(List<Sent> queries, long nowNanos) {
 		boolean needed = this.reportedVersion > this.version || isConfirmationTooOld(nowNanos);
 		if (needed && isDue(this.nextCheckNanos, nowNanos)) {
 			this.nextCheckNanos = Optional.of(nowNanos + RETRY_INTERVAL_NANOS);
-			queries.add(new Asked(new Question.Check(this.version), nowNanos));
+			queries.add(new Sent(new TableQuery.Check(this.version), nowNanos));
 			recordUnanswered(nowNanos);
 		}
 	}
 
 	// The store may never respond to this gateway and still serve others.
-	private void addGatewayQuery(List<Asked> queries, long nowNanos) {
+	private void addGatewayQuery(List<Sent> queries, long nowNanos) {
 		boolean missing = this.reportedVersion > this.version
 				&& (this.unansweredSinceNanos.isPresent() || this.failures > 0);
 		if (missing && isDue(this.nextGatewayNanos, nowNanos)) {
 			this.nextGatewayNanos = Optional.of(nowNanos + RETRY_INTERVAL_NANOS);
-			queries.add(new Asked(new Question.OfGateway(this.version), nowNanos));
+			queries.add(new Sent(new TableQuery.FromGateway(this.version), nowNanos));
 		}
 	}
 
@@ -198,38 +198,38 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the properties of the response
 	 */
-	public Answer answered(Asked sent, long storeVersion, boolean rows, long nowNanos) {
+	public Response responseReceived(Sent sent, long storeVersion, boolean rows, long nowNanos) {
 		int failuresBefore = this.failures;
 		this.failures = 0;
-		if (!(sent.question() instanceof Question.Feed)) {
+		if (!(sent.query() instanceof TableQuery.Feed)) {
 			this.unansweredSinceNanos = Optional.empty();
 		}
-		Optional<Asked> lost = Optional.empty();
+		Optional<Sent> lost = Optional.empty();
 		boolean unreported = rows && this.reportedVersion <= this.version;
-		boolean outdated = storeVersion < queriedVersion(sent.question());
+		boolean outdated = storeVersion < queriedVersion(sent.query());
 		if (!outdated) {
 			long confirmedNanos = confirmedNanos(sent, rows, nowNanos);
 			this.ownFreshness.confirm(confirmedNanos, Source.STORE);
 			this.freshness.confirm(confirmedNanos, Source.STORE);
 			this.version = Math.max(this.version, storeVersion);
 		}
-		switch (sent.question()) {
-			case Question.Whole _ -> {
+		switch (sent.query()) {
+			case TableQuery.FullTable _ -> {
 				this.wholeTableNeeded = outdated;
 				this.feed = Optional.empty();
 				this.nextFeedNanos = Optional.empty();
 				this.nextCheckNanos = Optional.empty();
 			}
-			case Question.Feed _ -> endFeed(sent, rows ? nowNanos + FEED_PAUSE_NANOS : nowNanos);
-			case Question.Check _ -> {
+			case TableQuery.Feed _ -> endFeed(sent, rows ? nowNanos + FEED_PAUSE_NANOS : nowNanos);
+			case TableQuery.Check _ -> {
 				this.nextCheckNanos = Optional.empty();
 				lost = rows ? lostFeed(nowNanos) : Optional.empty();
 				lost.ifPresent((lostQuery) -> endFeed(lostQuery, nowNanos));
 			}
-			case Question.OfGateway _ ->
+			case TableQuery.FromGateway _ ->
 				throw new IllegalArgumentException("no response of the store answers a query to a gateway");
 		}
-		return new Answer(failuresBefore, lost, outdated, unreported);
+		return new Response(failuresBefore, lost, outdated, unreported);
 	}
 
 	/**
@@ -241,11 +241,11 @@
 	 * @return the query to send to another gateway, which the store may serve; empty if
 	 * none is needed
 	 */
-	public Optional<Asked> failed(Asked sent, boolean historyLost, long nowNanos) {
+	public Optional<Sent> queryFailed(Sent sent, boolean historyLost, long nowNanos) {
 		long backoff = jittered(historyLost ? INITIAL_BACKOFF_NANOS / 4
 				: Math.min(MAX_BACKOFF_NANOS, INITIAL_BACKOFF_NANOS << Math.min(this.failures, MAX_DOUBLINGS)));
 		Optional<Long> next = Optional.of(nowNanos + backoff);
-		if (sent.question() instanceof Question.Feed) {
+		if (sent.query() instanceof TableQuery.Feed) {
 			boolean current = this.feed.equals(Optional.of(sent));
 			endFeed(sent, nowNanos);
 			if (!current || !this.role.reads()) {
@@ -264,7 +264,7 @@
 			return Optional.empty();
 		}
 		this.failures++;
-		return Optional.of(new Asked(new Question.OfGateway(this.version), nowNanos));
+		return Optional.of(new Sent(new TableQuery.FromGateway(this.version), nowNanos));
 	}
 
 	/**
@@ -276,7 +276,7 @@
 	 * current, empty if unknown
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	public void told(long otherVersion, boolean complete, Optional<Long> confirmedNanos, long nowNanos) {
+	public void reportReceived(long otherVersion, boolean complete, Optional<Long> confirmedNanos, long nowNanos) {
 		if (complete) {
 			this.version = Math.max(this.version, otherVersion);
 			confirmedNanos.ifPresent((at) -> this.freshness.confirm(at, Source.REPORT));
@@ -298,7 +298,7 @@
 	 * than it appears to be.
 	 * @param nowNanos the time at which the process resumed, on the monotonic clock
 	 */
-	public void paused(long nowNanos) {
+	public void resumedAfterPause(long nowNanos) {
 		this.ownFreshness.discardConfirmation(nowNanos);
 		this.freshness.discardConfirmation(nowNanos);
 	}
@@ -350,11 +350,11 @@
 		}
 	}
 
-	private Optional<Asked> lostFeed(long nowNanos) {
+	private Optional<Sent> lostFeed(long nowNanos) {
 		return this.feed.filter((sent) -> nowNanos - sent.sentNanos() > LOST_FEED_AGE_NANOS);
 	}
 
-	private void endFeed(Asked sent, long nextNanos) {
+	private void endFeed(Sent sent, long nextNanos) {
 		if (this.feed.equals(Optional.of(sent))) {
 			this.feed = Optional.empty();
 			this.nextFeedNanos = Optional.of(nextNanos);
@@ -364,16 +364,16 @@
 	// Returns the time up to which a response confirms that all changes were received.
 	// Changes that arrived before the end of the wait were sent at an unknown time
 	// during it.
-	private static long confirmedNanos(Asked sent, boolean rows, long nowNanos) {
-		boolean waited = sent.question() instanceof Question.Feed && !rows;
+	private static long confirmedNanos(Sent sent, boolean rows, long nowNanos) {
+		boolean waited = sent.query() instanceof TableQuery.Feed && !rows;
 		return waited ? Math.min(nowNanos, sent.sentNanos() + FEED_WAIT_NANOS) : sent.sentNanos();
 	}
 
-	private long queriedVersion(Question query) {
+	private long queriedVersion(TableQuery query) {
 		return switch (query) {
-			case Question.Feed feedQuery -> feedQuery.since();
-			case Question.Check check -> check.since();
-			case Question.Whole _, Question.OfGateway _ -> this.version;
+			case TableQuery.Feed feedQuery -> feedQuery.since();
+			case TableQuery.Check check -> check.since();
+			case TableQuery.FullTable _, TableQuery.FromGateway _ -> this.version;
 		};
 	}
 
@@ -391,10 +391,10 @@
 	 * @param failuresBefore the number of consecutive failures before it
 	 * @param lostFeed the query for changes that should have been answered before it, and
 	 * whose response is no longer awaited
-	 * @param older whether it is older than the local copy, and confirms nothing
-	 * @param firstHand whether its rows hold changes that no other gateway reported
+	 * @param outdated whether it is older than the local copy, and confirms nothing
+	 * @param unreported whether its rows hold changes that no other gateway reported
 	 */
-	public record Answer(int failuresBefore, Optional<Asked> lostFeed, boolean older, boolean firstHand) {
+	public record Response(int failuresBefore, Optional<Sent> lostFeed, boolean outdated, boolean unreported) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/Question.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/tables/TableQuery.java
@@ -1,10 +1,10 @@
 package org.rosemaryfront.tables;
 
 /** A query that a gateway sends to follow a table. */
-public sealed interface Question {
+public sealed interface TableQuery {
 
 	/** A query to the store for all rows of the table. */
-	record Whole() implements Question {
+	record FullTable() implements TableQuery {
 	}
 
 	/**
@@ -14,7 +14,7 @@
 	 * @param since the version
 	 * @param waitNanos the maximum time to wait for a change, in nanoseconds
 	 */
-	record Feed(long since, long waitNanos) implements Question {
+	record Feed(long since, long waitNanos) implements TableQuery {
 	}
 
 	/**
@@ -23,24 +23,24 @@
 	 *
 	 * @param since the version
 	 */
-	record Check(long since) implements Question {
+	record Check(long since) implements TableQuery {
 	}
 
 	/**
 	 * A query to another gateway for all rows, if its copy is newer.
 	 *
-	 * @param known the version of the local copy
+	 * @param version the version of the local copy
 	 */
-	record OfGateway(long known) implements Question {
+	record FromGateway(long version) implements TableQuery {
 	}
 
 	/**
 	 * A query with the time at which it is sent.
 	 *
-	 * @param question the query
+	 * @param query the query
 	 * @param sentNanos the time at which it is sent, on the monotonic clock
 	 */
-	record Asked(Question question, long sentNanos) {
+	record Sent(TableQuery query, long sentNanos) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/Deployment.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/Deployment.java
@@ -6,7 +6,7 @@
 
 import org.rosemaryfront.capacity.CloudVm.State;
 import org.rosemaryfront.capacity.FakeCloud.Machine;
-import org.rosemaryfront.lease.LeaseTerms;
+import org.rosemaryfront.lease.LeaseTiming;
 import org.rosemaryfront.model.Configuration;
 import org.rosemaryfront.model.Resource;
 
@@ -25,7 +25,7 @@
 	static final CapacitySettings SETTINGS = new CapacitySettings(16, 4, 2_000, 20_000, 20_000, 5_000, 30_000, 10_000,
 			3_000, 500, 10, 0.25, 0.75);
 
-	private static final LeaseTerms TERMS = LeaseTerms.of(Duration.ofSeconds(10), Duration.ofSeconds(1));
+	private static final LeaseTiming TERMS = LeaseTiming.of(Duration.ofSeconds(10), Duration.ofSeconds(1));
 
 	final VirtualWorld world;
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/SimulatedController.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/SimulatedController.java
@@ -8,9 +8,9 @@
 import org.rosemaryfront.capacity.FakeCloud.Machine;
 import org.rosemaryfront.lease.LeaseCommand;
 import org.rosemaryfront.lease.LeaseEvent;
-import org.rosemaryfront.lease.LeaseMachine;
+import org.rosemaryfront.lease.LeaseStateMachine;
 import org.rosemaryfront.lease.LeaseRow;
-import org.rosemaryfront.lease.LeaseTerms;
+import org.rosemaryfront.lease.LeaseTiming;
 import org.rosemaryfront.model.Configuration;
 import org.rosemaryfront.model.VmId;
 
@@ -24,7 +24,7 @@
 
 	final String name;
 
-	final LeaseMachine lease;
+	final LeaseStateMachine lease;
 
 	final CapacityDecisions decisions;
 
@@ -61,7 +61,7 @@
 
 	private long fenceVersion;
 
-	SimulatedController(String name, FakeCloud cloud, LeaseTerms terms, CapacitySettings settings, long seed) {
+	SimulatedController(String name, FakeCloud cloud, LeaseTiming terms, CapacitySettings settings, long seed) {
 		this.name = name;
 		this.cloud = cloud;
 		this.world = cloud.world;
@@ -69,7 +69,7 @@
 		this.settings = settings;
 		this.rate = 1 + (this.world.random.nextDouble() - 0.5) / 500;
 		this.offset = this.world.random.nextLong(1L << 40);
-		this.lease = LeaseMachine.of(name, terms, seed);
+		this.lease = LeaseStateMachine.of(name, terms, seed);
 		this.decisions = CapacityDecisions.of(settings, seed);
 		this.world.after(this.world.random.nextLong(TICK), this::step);
 	}
@@ -79,7 +79,7 @@
 	}
 
 	boolean mayOrder() {
-		return !this.crashed && this.lease.mayOrder(clock());
+		return !this.crashed && this.lease.maySendOrders(clock());
 	}
 
 	void configuration(Configuration configuration) {
@@ -265,7 +265,7 @@
 			}
 			post(() -> {
 				if (state.fence() > this.lease.fence()) {
-					this.lease.fenceSeen(state.fence());
+					this.lease.observeFence(state.fence());
 				}
 			});
 			answer(new CapacityEvent.StateRead(vm, asked, state));
@@ -276,7 +276,7 @@
 		long fence = this.lease.fence();
 		this.world.call(() -> this.tables.commit(conditions, Map.of("intents/" + token, value)), (outcome) -> {
 			if (outcome.fenced()) {
-				post(() -> this.lease.fenceSeen(fence + 1));
+				post(() -> this.lease.observeFence(fence + 1));
 			}
 			answer((outcome.refused() || outcome.fenced()) ? new CapacityEvent.IntentFailed(token) : done);
 		}, () -> answer(new CapacityEvent.IntentFailed(token)));
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashSimulation.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashSimulation.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-import org.rosemaryfront.dispatch.BackendServer.Start;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
 
 /**
  * Simulates, on virtual time, gateways that send requests to servers that crash. One
@@ -217,7 +217,7 @@
 	// quarantined.
 	private void withdraw(RequestDigest request) {
 		for (Gateway gateway : this.gateways) {
-			if (gateway.table.judge(request) instanceof Judgement.Held) {
+			if (gateway.table.decide(request) instanceof QuarantineDecision.Quarantined) {
 				this.servers.forEach((server) -> server.calls.entrySet()
 					.removeIf((call) -> call.getValue() == gateway && call.getKey().request.equals(request)
 							&& !call.getKey().isProbe));
@@ -232,7 +232,7 @@
 			this.rows.put(row.crash(), row);
 			schedule(DELAY_MILLIS, () -> {
 				if (!this.storeUnavailable) {
-					this.gateways.forEach((gateway) -> gateway.table.stored(row, nowNanos()));
+					this.gateways.forEach((gateway) -> gateway.table.rowRead(row, nowNanos()));
 				}
 			});
 		}
@@ -249,14 +249,14 @@
 		private boolean urgent;
 
 		private void send(Attempt attempt) {
-			switch (this.table.judge(attempt.request)) {
-				case Judgement.Free _ -> sendTo(attempt);
-				case Judgement.Held _ -> refuse(attempt);
-				case Judgement.OnTrial _ -> {
+			switch (this.table.decide(attempt.request)) {
+				case QuarantineDecision.Allowed _ -> sendTo(attempt);
+				case QuarantineDecision.Quarantined _ -> refuse(attempt);
+				case QuarantineDecision.Probe _ -> {
 					boolean granted = !CrashSimulation.this.storeUnavailable
 							&& CrashSimulation.this.probes.add(attempt.request);
 					if (!CrashSimulation.this.storeUnavailable) {
-						CrashSimulation.this.gateways.forEach((gateway) -> gateway.table.trial(attempt.request, true));
+						CrashSimulation.this.gateways.forEach((gateway) -> gateway.table.setProbeGranted(attempt.request, true));
 					}
 					attempt.isProbe = granted;
 					if (granted) {
@@ -285,7 +285,7 @@
 
 		private void connectionBroke(Attempt attempt, Server server) {
 			Crash crash = new Crash(attempt.request, server.start);
-			if (this.table.suspected(crash, CrashSimulation.this.nowMillis, nowNanos())) {
+			if (this.table.connectionLost(crash, CrashSimulation.this.nowMillis, nowNanos())) {
 				schedule(DELAY_MILLIS, () -> checkServer(server));
 			}
 			if (!attempt.isRetry && !attempt.harmful) {
@@ -295,18 +295,18 @@
 
 		private void checkServer(Server server) {
 			if (server.alive) {
-				this.table.answers(server.start, nowNanos(), nowNanos());
+				this.table.serverResponded(server.start, nowNanos(), nowNanos());
 			}
 			else {
-				this.urgent |= !this.table.crashed(server.start, nowNanos()).isEmpty();
+				this.urgent |= !this.table.serverCrashed(server.start, nowNanos()).isEmpty();
 			}
 		}
 
 		private void responseReceived(Attempt attempt, Server server, long sentNanos) {
-			this.table.answers(server.start, sentNanos, nowNanos());
-			this.urgent |= !this.table.cleared(attempt.request, nowNanos()).isEmpty();
+			this.table.serverResponded(server.start, sentNanos, nowNanos());
+			this.urgent |= !this.table.clear(attempt.request, nowNanos()).isEmpty();
 			if (CrashSimulation.this.probes.remove(attempt.request)) {
-				CrashSimulation.this.gateways.forEach((gateway) -> gateway.table.trial(attempt.request, false));
+				CrashSimulation.this.gateways.forEach((gateway) -> gateway.table.setProbeGranted(attempt.request, false));
 			}
 		}
 
@@ -315,20 +315,20 @@
 				return;
 			}
 			this.table.expire(nowNanos());
-			for (Evidence row : this.table.unwritten(50, nowNanos())) {
+			for (Evidence row : this.table.pendingWrites(50, nowNanos())) {
 				if (CrashSimulation.this.storeUnavailable) {
-					this.table.notWritten(row, nowNanos());
+					this.table.writeFailed(row, nowNanos());
 				}
 				else {
 					writeRow(row);
-					this.table.written(row);
+					this.table.writeCommitted(row);
 				}
 			}
 			long interval = this.urgent ? URGENT_REPORT_MILLIS : REPORT_MILLIS;
 			if (CrashSimulation.this.nowMillis - this.reportedMillis >= interval) {
 				this.reportedMillis = CrashSimulation.this.nowMillis;
 				this.urgent = false;
-				report(this.table.news(nowNanos()));
+				report(this.table.updates(nowNanos()));
 			}
 		}
 
@@ -337,13 +337,13 @@
 				schedule(DELAY_MILLIS,
 						() -> CrashSimulation.this.gateways.stream()
 							.filter((other) -> other != this)
-							.forEach((other) -> updates.forEach((update) -> other.table.heard(update, nowNanos()))));
+							.forEach((other) -> updates.forEach((update) -> other.table.receive(update, nowNanos()))));
 			}
 		}
 
 		private void readAll() {
-			CrashSimulation.this.rows.values().forEach((row) -> this.table.stored(row, nowNanos()));
-			CrashSimulation.this.probes.forEach((request) -> this.table.trial(request, true));
+			CrashSimulation.this.rows.values().forEach((row) -> this.table.rowRead(row, nowNanos()));
+			CrashSimulation.this.probes.forEach((request) -> this.table.setProbeGranted(request, true));
 		}
 
 	}
@@ -351,14 +351,14 @@
 	/** A server with its running attempts, each with the gateway that sent it. */
 	private final class Server {
 
-		private Start start = newStart();
+		private Incarnation start = newStart();
 
 		private boolean alive = true;
 
 		private final Map<Attempt, Gateway> calls = new LinkedHashMap<>();
 
-		private Start newStart() {
-			return new Start("s" + CrashSimulation.this.sequence++, 0);
+		private Incarnation newStart() {
+			return new Incarnation("s" + CrashSimulation.this.sequence++, 0);
 		}
 
 		private void receive(Attempt attempt, Gateway from) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashTableTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashTableTests.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 import org.rosemaryfront.crashes.Evidence.State;
-import org.rosemaryfront.dispatch.BackendServer.Start;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -28,16 +28,16 @@
 	@CsvSource({ "0, Free", "1, Free", "2, Free", "3, Held", "4, Held" })
 	void shouldQuarantineRequestWhenThreeServersCrashed(int crashes, String decision) {
 		crash(HARMFUL, crashes);
-		assertThat(this.table.judge(HARMFUL).getClass().getSimpleName()).isEqualTo(decision);
-		assertThat(this.table.isHeld(HARMFUL)).isEqualTo(decision.equals("Held"));
+		assertThat(this.table.decide(HARMFUL).getClass().getSimpleName()).isEqualTo(decision);
+		assertThat(this.table.isQuarantined(HARMFUL)).isEqualTo(decision.equals("Held"));
 	}
 
 	@Test
 	void shouldCountStartsOfOneServerSeparately() {
 		for (int start = 0; start < 3; start++) {
-			crash(HARMFUL, new Start("s1", start), start * 1_000L);
+			crash(HARMFUL, new Incarnation("s1", start), start * 1_000L);
 		}
-		assertThat(this.table.isHeld(HARMFUL)).isTrue();
+		assertThat(this.table.isQuarantined(HARMFUL)).isTrue();
 	}
 
 	// Live servers also truncate responses, and connections are reset: a server that
@@ -45,16 +45,16 @@
 	@Test
 	void shouldRemoveSuspectedCrashesWhenServersRespond() {
 		for (int i = 0; i < 5; i++) {
-			this.table.suspected(new Crash(HARMFUL, server(i)), i * 1_000, i);
-			this.table.answers(server(i), i + 1, i + 1);
+			this.table.connectionLost(new Crash(HARMFUL, server(i)), i * 1_000, i);
+			this.table.serverResponded(server(i), i + 1, i + 1);
 		}
-		assertThat(this.table.judge(HARMFUL).servers()).isEmpty();
+		assertThat(this.table.decide(HARMFUL).servers()).isEmpty();
 		assertThat(this.table.size()).isZero();
 	}
 
 	@Test
 	void shouldExpireSuspectedCrashWhenItIsNotConfirmed() {
-		this.table.suspected(new Crash(HARMFUL, server(1)), 0, 0);
+		this.table.connectionLost(new Crash(HARMFUL, server(1)), 0, 0);
 		this.table.expire(60 * SECOND);
 		assertThat(this.table.size()).isZero();
 	}
@@ -64,9 +64,9 @@
 	@Test
 	void shouldClearEvidenceWhenResponseIsComplete() {
 		crash(HARMFUL, 2);
-		this.table.cleared(HARMFUL, SECOND);
-		crash(HARMFUL, new Start("later", 0), 9_000);
-		assertThat(this.table.judge(HARMFUL)).isInstanceOf(Judgement.Free.class);
+		this.table.clear(HARMFUL, SECOND);
+		crash(HARMFUL, new Incarnation("later", 0), 9_000);
+		assertThat(this.table.decide(HARMFUL)).isInstanceOf(QuarantineDecision.Allowed.class);
 	}
 
 	// A call that was sent before the connections broke may be completed from data that
@@ -75,22 +75,22 @@
 	@CsvSource({ "-1, 3", "1, 2" })
 	void shouldClearCrashOnlyWhenLaterCallGetsResponse(long sentNanos, int remaining) {
 		crash(HARMFUL, 3);
-		this.table.answers(server(0), sentNanos, SECOND);
-		assertThat(this.table.judge(HARMFUL).servers()).hasSize(remaining);
+		this.table.serverResponded(server(0), sentNanos, SECOND);
+		assertThat(this.table.decide(HARMFUL).servers()).hasSize(remaining);
 	}
 
 	// Updates may be reordered and duplicated: cleared evidence must stay cleared.
 	@Test
 	void shouldKeepEvidenceClearedWhenLateUpdatesArrive() {
 		crash(HARMFUL, 3);
-		this.table.cleared(HARMFUL, SECOND);
+		this.table.clear(HARMFUL, SECOND);
 		for (int i = 0; i < 3; i++) {
-			this.table.heard(new Evidence(new Crash(HARMFUL, server(i)), State.CONFIRMED, i * 1_000L), SECOND);
-			this.table.stored(new Evidence(new Crash(HARMFUL, server(i)), State.CONFIRMED, i * 1_000L), SECOND);
+			this.table.receive(new Evidence(new Crash(HARMFUL, server(i)), State.CONFIRMED, i * 1_000L), SECOND);
+			this.table.rowRead(new Evidence(new Crash(HARMFUL, server(i)), State.CONFIRMED, i * 1_000L), SECOND);
 		}
-		assertThat(this.table.isHeld(HARMFUL)).isFalse();
+		assertThat(this.table.isQuarantined(HARMFUL)).isFalse();
 		// A row in an earlier state results from a delayed write and must be rewritten.
-		assertThat(this.table.unwritten(10, SECOND)).hasSize(3)
+		assertThat(this.table.pendingWrites(10, SECOND)).hasSize(3)
 			.allMatch((evidence) -> evidence.state() == State.CLEARED);
 	}
 
@@ -101,10 +101,10 @@
 		for (int i = 0; i < 3; i++) {
 			crash(HARMFUL, server(i), 20L * i);
 		}
-		assertThat(this.table.judge(HARMFUL)).isInstanceOf(Judgement.OnTrial.class);
-		assertThat(this.table.isHeld(HARMFUL)).isTrue();
-		this.table.trial(HARMFUL, true);
-		assertThat(this.table.judge(HARMFUL)).isInstanceOf(Judgement.Held.class);
+		assertThat(this.table.decide(HARMFUL)).isInstanceOf(QuarantineDecision.Probe.class);
+		assertThat(this.table.isQuarantined(HARMFUL)).isTrue();
+		this.table.setProbeGranted(HARMFUL, true);
+		assertThat(this.table.decide(HARMFUL)).isInstanceOf(QuarantineDecision.Quarantined.class);
 	}
 
 	// -- updates for the store and other processes
@@ -114,26 +114,26 @@
 	void shouldQuarantineRequestWhenOthersObservedCrashes(boolean byStore) {
 		for (int i = 0; i < 3; i++) {
 			Evidence evidence = new Evidence(new Crash(HARMFUL, server(i)), State.CONFIRMED, i * 1_000L);
-			boolean changed = byStore ? this.table.stored(evidence, 0) : this.table.heard(evidence, 0);
+			boolean changed = byStore ? this.table.rowRead(evidence, 0) : this.table.receive(evidence, 0);
 			assertThat(changed).isTrue();
 		}
-		assertThat(this.table.isHeld(HARMFUL)).isTrue();
+		assertThat(this.table.isQuarantined(HARMFUL)).isTrue();
 	}
 
 	@Test
 	void shouldReportCrashForLimitedTime() {
 		crash(HARMFUL, 1);
-		assertThat(this.table.news(SECOND)).hasSize(1);
-		assertThat(this.table.news(5 * SECOND)).isEmpty();
+		assertThat(this.table.updates(SECOND)).hasSize(1);
+		assertThat(this.table.updates(5 * SECOND)).isEmpty();
 	}
 
 	// A harmless request is retried and answered before its only crash is written.
 	@Test
 	void shouldWriteNoRowWhenRetrySucceedsImmediately() {
 		crash(HARMFUL, 1);
-		assertThat(this.table.unwritten(10, 0)).isEmpty();
-		this.table.cleared(HARMFUL, SECOND / 10);
-		assertThat(this.table.unwritten(10, 10 * SECOND)).isEmpty();
+		assertThat(this.table.pendingWrites(10, 0)).isEmpty();
+		this.table.clear(HARMFUL, SECOND / 10);
+		assertThat(this.table.pendingWrites(10, 10 * SECOND)).isEmpty();
 		this.table.expire(20 * SECOND);
 		assertThat(this.table.size()).isZero();
 	}
@@ -141,7 +141,7 @@
 	@Test
 	void shouldWriteAllCrashesImmediatelyWhenThereAreTwo() {
 		crash(HARMFUL, 2);
-		assertThat(this.table.unwritten(10, 0)).hasSize(2);
+		assertThat(this.table.pendingWrites(10, 0)).hasSize(2);
 	}
 
 	// The gateway that observed a crash may be unable to reach the store: the gateways
@@ -149,23 +149,23 @@
 	@Test
 	void shouldWriteReceivedCrashWhenStoreLacksIt() {
 		Evidence evidence = new Evidence(new Crash(HARMFUL, server(1)), State.CONFIRMED, 0);
-		this.table.heard(evidence, 0);
-		assertThat(this.table.unwritten(10, SECOND / 10)).isEmpty();
-		assertThat(this.table.unwritten(10, SECOND)).containsExactly(evidence);
-		this.table.notWritten(evidence, SECOND);
-		assertThat(this.table.unwritten(10, SECOND)).isEmpty();
-		assertThat(this.table.unwritten(10, 2 * SECOND)).containsExactly(evidence);
-		this.table.written(evidence);
-		assertThat(this.table.unwritten(10, 9 * SECOND)).isEmpty();
+		this.table.receive(evidence, 0);
+		assertThat(this.table.pendingWrites(10, SECOND / 10)).isEmpty();
+		assertThat(this.table.pendingWrites(10, SECOND)).containsExactly(evidence);
+		this.table.writeFailed(evidence, SECOND);
+		assertThat(this.table.pendingWrites(10, SECOND)).isEmpty();
+		assertThat(this.table.pendingWrites(10, 2 * SECOND)).containsExactly(evidence);
+		this.table.writeCommitted(evidence);
+		assertThat(this.table.pendingWrites(10, 9 * SECOND)).isEmpty();
 	}
 
 	@Test
 	void shouldRemoveEvidenceWhenRowsAreRemoved() {
 		for (int i = 0; i < 3; i++) {
-			this.table.stored(new Evidence(new Crash(HARMFUL, server(i)), State.CONFIRMED, i * 1_000L), 0);
+			this.table.rowRead(new Evidence(new Crash(HARMFUL, server(i)), State.CONFIRMED, i * 1_000L), 0);
 		}
-		IntStream.range(0, 3).forEach((i) -> this.table.removed(new Crash(HARMFUL, server(i))));
-		assertThat(this.table.judge(HARMFUL).servers()).isEmpty();
+		IntStream.range(0, 3).forEach((i) -> this.table.rowRemoved(new Crash(HARMFUL, server(i))));
+		assertThat(this.table.decide(HARMFUL).servers()).isEmpty();
 	}
 
 	// -- bounds
@@ -177,14 +177,14 @@
 		crash(HARMFUL, 3);
 		crash(new RequestDigest(2, 2), 2);
 		for (int i = 0; i < 20_000; i++) {
-			crash(new RequestDigest(3, i), new Start("other" + i, 0), i);
+			crash(new RequestDigest(3, i), new Incarnation("other" + i, 0), i);
 		}
 		assertThat(this.table.size()).isLessThanOrEqualTo(4_096);
-		assertThat(this.table.isHeld(HARMFUL)).isTrue();
-		assertThat(this.table.judge(new RequestDigest(2, 2)).servers()).hasSize(2);
-		assertThat(this.table.unwritten(50, SECOND)).hasSize(50)
+		assertThat(this.table.isQuarantined(HARMFUL)).isTrue();
+		assertThat(this.table.decide(new RequestDigest(2, 2)).servers()).hasSize(2);
+		assertThat(this.table.pendingWrites(50, SECOND)).hasSize(50)
 			.contains(new Evidence(new Crash(HARMFUL, server(0)), State.CONFIRMED, 0));
-		assertThat(this.table.news(SECOND)).hasSize(16);
+		assertThat(this.table.updates(SECOND)).hasSize(16);
 	}
 
 	// -- helpers
@@ -193,14 +193,14 @@
 		IntStream.range(0, servers).forEach((i) -> crash(request, server(i), i * 1_000L));
 	}
 
-	private void crash(RequestDigest request, Start server, long atMillis) {
-		this.table.suspected(new Crash(request, server), atMillis, 0);
-		List<Evidence> confirmed = this.table.crashed(server, 0);
+	private void crash(RequestDigest request, Incarnation server, long atMillis) {
+		this.table.connectionLost(new Crash(request, server), atMillis, 0);
+		List<Evidence> confirmed = this.table.serverCrashed(server, 0);
 		assertThat(confirmed).extracting((evidence) -> evidence.crash().request()).contains(request);
 	}
 
-	private static Start server(int number) {
-		return new Start("s" + number, 0);
+	private static Incarnation server(int number) {
+		return new Incarnation("s" + number, 0);
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/BackendTableTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/BackendTableTests.java
@@ -19,36 +19,36 @@
 	@ParameterizedTest
 	@CsvSource({ "5000, 6", "5000, 7", "4000, 9" })
 	void shouldIgnoreOlderRegistrationWhenServerIsLeaving(long startedMillis, long sequence) {
-		this.table.registered(server(START, 7, true), 0);
-		assertThat(this.table.registered(server(startedMillis, sequence, false), 1)).isFalse();
-		assertThat(this.table.takers()).isEmpty();
+		this.table.recordRegistration(server(START, 7, true), 0);
+		assertThat(this.table.recordRegistration(server(startedMillis, sequence, false), 1)).isFalse();
+		assertThat(this.table.eligibleServers()).isEmpty();
 	}
 
 	// The same fault if the registration ended in between.
 	@Test
 	void shouldIgnoreOlderRegistrationWhenServerWasRemoved() {
-		this.table.registered(server(START, 7, true), 0);
-		this.table.lapsed("s1", 1, OptionalLong.empty());
-		this.table.expire(1);
-		assertThat(this.table.registered(server(START, 6, false), 2)).isFalse();
+		this.table.recordRegistration(server(START, 7, true), 0);
+		this.table.recordLapse("s1", 1, OptionalLong.empty());
+		this.table.removeExpired(1);
+		assertThat(this.table.recordRegistration(server(START, 6, false), 2)).isFalse();
 		assertThat(this.table.servers()).isEmpty();
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "5000, 8", "6000, 1" })
 	void shouldAddServerWhenRegistrationIsNewer(long startedMillis, long sequence) {
-		this.table.registered(server(START, 7, true), 0);
-		this.table.lapsed("s1", 1, OptionalLong.empty());
-		this.table.expire(1);
-		assertThat(this.table.registered(server(startedMillis, sequence, false), 2)).isTrue();
-		assertThat(this.table.takers()).hasSize(1);
+		this.table.recordRegistration(server(START, 7, true), 0);
+		this.table.recordLapse("s1", 1, OptionalLong.empty());
+		this.table.removeExpired(1);
+		assertThat(this.table.recordRegistration(server(startedMillis, sequence, false), 2)).isTrue();
+		assertThat(this.table.eligibleServers()).hasSize(1);
 	}
 
 	@Test
 	void shouldReportNoChangeWhenOnlySequenceIsNewer() {
-		this.table.registered(server(START, 7, false), 0);
-		assertThat(this.table.registered(server(START, 8, false), 1)).isFalse();
-		assertThat(this.table.registered(server(START, 7, true), 1)).isFalse();
+		this.table.recordRegistration(server(START, 7, false), 0);
+		assertThat(this.table.recordRegistration(server(START, 8, false), 1)).isFalse();
+		assertThat(this.table.recordRegistration(server(START, 7, true), 1)).isFalse();
 	}
 
 	private static BackendServer server(long startedMillis, long sequence, boolean leaving) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/DispatcherTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/DispatcherTests.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import org.rosemaryfront.dispatch.BackendServer.Start;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
 import org.rosemaryfront.dispatch.Dispatcher.Choice;
-import org.rosemaryfront.dispatch.Dispatcher.Wish;
+import org.rosemaryfront.dispatch.Dispatcher.CallRequirements;
 import org.rosemaryfront.routes.ServiceSpec.EngineSpec;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -38,7 +38,7 @@
 	@BeforeEach
 	void register() {
 		for (String id : List.of("s1", "s2", "s3")) {
-			this.table.registered(server(id, false), LONG_AGO);
+			this.table.recordRegistration(server(id, false), LONG_AGO);
 		}
 	}
 
@@ -53,8 +53,8 @@
 		for (int i = 0; i < 4; i++) {
 			BackendServer chosen = chosen(promptRequirements("part", 800));
 			used.add(chosen.id());
-			this.table.sent(start(chosen.id()), 0);
-			this.table.reads(start(chosen.id()), prefix("part"), CACHE_TOKENS);
+			this.table.recordCallSent(start(chosen.id()), 0);
+			this.table.recordPrefillStart(start(chosen.id()), prefix("part"), CACHE_TOKENS);
 		}
 		assertThat(used).hasSize(1);
 	}
@@ -65,8 +65,8 @@
 	@Test
 	void shouldChooseServerWhenItPrefilledPrefixForAnotherProcess() {
 		for (String cachingServer : List.of("s1", "s2", "s3")) {
-			SharedParts prefix = prefix("part of " + cachingServer);
-			this.table.othersRead(start(cachingServer), prefix.parts(), CACHE_TOKENS);
+			PromptPrefix prefix = prefix("part of " + cachingServer);
+			this.table.recordPeerPrefill(start(cachingServer), prefix.segments(), CACHE_TOKENS);
 			assertThat(chosen(requirements(prefix, 800)).id()).isEqualTo(cachingServer);
 		}
 	}
@@ -76,71 +76,71 @@
 	// transfer takes a few milliseconds.
 	@Test
 	void shouldTransferSegmentsWhenCachingServerHasLongQueue() {
-		this.table.reads(start("s1"), prefix("part"), CACHE_TOKENS);
-		this.table.sent(start("s1"), 40_000);
+		this.table.recordPrefillStart(start("s1"), prefix("part"), CACHE_TOKENS);
+		this.table.recordCallSent(start("s1"), 40_000);
 		Choice.Chosen chosen = choose(requirements(prefix("part"), 800));
 		assertThat(chosen.server().id()).isNotEqualTo("s1");
-		assertThat(chosen.fetchFrom()).map(BackendServer::id).contains("s1");
-		assertThat(chosen.unreadTokens()).isEqualTo(800);
+		assertThat(chosen.transferSource()).map(BackendServer::id).contains("s1");
+		assertThat(chosen.uncachedTokens()).isEqualTo(800);
 	}
 
 	// After the reclaim notice for a zone its servers accept no new calls, but their
 	// caches remain available for two more seconds.
 	@Test
 	void shouldTransferSegmentsWhenCachingServerIsLeaving() {
-		this.table.reads(start("s1"), prefix("part"), CACHE_TOKENS);
-		this.table.registered(server("s1", true), 0);
-		assertThat(choose(requirements(prefix("part"), 800)).fetchFrom()).map(BackendServer::id).contains("s1");
+		this.table.recordPrefillStart(start("s1"), prefix("part"), CACHE_TOKENS);
+		this.table.recordRegistration(server("s1", true), 0);
+		assertThat(choose(requirements(prefix("part"), 800)).transferSource()).map(BackendServer::id).contains("s1");
 	}
 
 	@ParameterizedTest
 	@ValueSource(longs = { 0, 160_000 })
 	void shouldPrefillSegmentsWhenTransferIsNotFaster(long tokenBytes) {
-		this.table.reads(start("s1"), prefix("part"), CACHE_TOKENS);
-		this.table.sent(start("s1"), 40_000);
+		this.table.recordPrefillStart(start("s1"), prefix("part"), CACHE_TOKENS);
+		this.table.recordCallSent(start("s1"), 40_000);
 		EngineSpec slow = new EngineSpec(4, CACHE_TOKENS, tokenBytes, 1_000);
-		Choice.Chosen chosen = choose(new Wish("llm", prefix("part"), Optional.of(slow), 800, 10_000, 0));
-		assertThat(chosen.fetchFrom()).isEmpty();
-		assertThat(chosen.unreadTokens()).isEqualTo(4_800);
+		Choice.Chosen chosen = choose(new CallRequirements("llm", prefix("part"), Optional.of(slow), 800, 10_000, 0));
+		assertThat(chosen.transferSource()).isEmpty();
+		assertThat(chosen.uncachedTokens()).isEqualTo(4_800);
 	}
 
 	// A cached segment can be reused only after the same preceding segments: the same
 	// text after another beginning has other KV cache entries.
 	@Test
 	void shouldReuseSegmentsOnlyWhenPrecedingSegmentsMatch() {
-		this.table.reads(start("s1"), SharedParts.of(List.of("a", "b"), List.of(1_000, 3_000)), CACHE_TOKENS);
-		SharedParts other = SharedParts.of(List.of("c", "b"), List.of(1_000, 3_000));
-		assertThat(choose(requirements(other, 800)).unreadTokens()).isEqualTo(4_800);
-		SharedParts longer = SharedParts.of(List.of("a", "d"), List.of(1_000, 3_000));
-		assertThat(choose(requirements(longer, 800)).unreadTokens()).isEqualTo(3_800);
+		this.table.recordPrefillStart(start("s1"), PromptPrefix.of(List.of("a", "b"), List.of(1_000, 3_000)), CACHE_TOKENS);
+		PromptPrefix other = PromptPrefix.of(List.of("c", "b"), List.of(1_000, 3_000));
+		assertThat(choose(requirements(other, 800)).uncachedTokens()).isEqualTo(4_800);
+		PromptPrefix longer = PromptPrefix.of(List.of("a", "d"), List.of(1_000, 3_000));
+		assertThat(choose(requirements(longer, 800)).uncachedTokens()).isEqualTo(3_800);
 	}
 
 	// An engine's KV cache is limited; the least recently used segments are evicted.
 	@Test
 	void shouldEvictSegmentsWhenCacheIsFull() {
 		for (int i = 0; i < 40; i++) {
-			this.table.reads(start("s1"), prefix("part " + i), 80_000);
+			this.table.recordPrefillStart(start("s1"), prefix("part " + i), 80_000);
 		}
-		assertThat(choose(requirements(prefix("part 0"), 800)).unreadTokens()).isEqualTo(4_800);
-		assertThat(choose(requirements(prefix("part 39"), 800)).unreadTokens()).isEqualTo(800);
+		assertThat(choose(requirements(prefix("part 0"), 800)).uncachedTokens()).isEqualTo(4_800);
+		assertThat(choose(requirements(prefix("part 39"), 800)).uncachedTokens()).isEqualTo(800);
 	}
 
 	@Test
 	void shouldDiscardSegmentsWhenServerRestarts() {
-		this.table.reads(start("s1"), prefix("part"), CACHE_TOKENS);
-		this.table.registered(serverStartedAt("s1", 77, false), LONG_AGO);
-		this.table.othersRead(start("s1"), prefix("part").parts(), CACHE_TOKENS);
-		assertThat(choose(requirements(prefix("part"), 800)).unreadTokens()).isEqualTo(4_800);
+		this.table.recordPrefillStart(start("s1"), prefix("part"), CACHE_TOKENS);
+		this.table.recordRegistration(serverStartedAt("s1", 77, false), LONG_AGO);
+		this.table.recordPeerPrefill(start("s1"), prefix("part").segments(), CACHE_TOKENS);
+		assertThat(choose(requirements(prefix("part"), 800)).uncachedTokens()).isEqualTo(4_800);
 	}
 
 	// Each segment is reported to the other processes twice, since a report may be lost.
 	@Test
 	void shouldReportSegmentsTwice() {
-		this.table.reads(start("s1"), prefix("part"), CACHE_TOKENS);
-		this.table.reads(start("s1"), prefix("part"), CACHE_TOKENS);
-		assertThat(this.table.partsToTell()).containsEntry(start("s1"), prefix("part").parts());
-		assertThat(this.table.partsToTell()).containsEntry(start("s1"), prefix("part").parts());
-		assertThat(this.table.partsToTell()).isEmpty();
+		this.table.recordPrefillStart(start("s1"), prefix("part"), CACHE_TOKENS);
+		this.table.recordPrefillStart(start("s1"), prefix("part"), CACHE_TOKENS);
+		assertThat(this.table.takeSegmentUpdates()).containsEntry(start("s1"), prefix("part").segments());
+		assertThat(this.table.takeSegmentUpdates()).containsEntry(start("s1"), prefix("part").segments());
+		assertThat(this.table.takeSegmentUpdates()).isEmpty();
 	}
 
 	// All processes are killed and restarted while the servers keep running. With empty
@@ -149,10 +149,10 @@
 	@Test
 	void shouldAssumeWarmCacheWhenServerWasRegisteredAtStart() {
 		BackendTable restarted = new BackendTable();
-		restarted.foundAtStart(server("s1", false));
+		restarted.recordExistingRegistration(server("s1", false));
 		BackendTable scaledOut = new BackendTable();
-		scaledOut.registered(server("s1", false), 0);
-		Wish requirements = new Wish("llm", SharedParts.of(List.of("part"), List.of(100_000)), Optional.empty(), 800,
+		scaledOut.recordRegistration(server("s1", false), 0);
+		CallRequirements requirements = new CallRequirements("llm", PromptPrefix.of(List.of("part"), List.of(100_000)), Optional.empty(), 800,
 				600, 0);
 		assertThat(new Dispatcher(restarted, "a").choose(requirements, Set.of(), SECOND))
 			.isInstanceOf(Choice.Chosen.class);
@@ -165,7 +165,7 @@
 	@Test
 	void shouldUseAnotherServerWhenCachingServerHasLongQueue() {
 		BackendServer first = chosen(promptRequirements("part", 800));
-		this.table.sent(start(first.id()), 100_000);
+		this.table.recordCallSent(start(first.id()), 100_000);
 		assertThat(chosen(promptRequirements("part", 2_000)).id()).isNotEqualTo(first.id());
 	}
 
@@ -181,9 +181,9 @@
 	@Test
 	void shouldUseAnotherServerWhenOtherProcessesLoadIt() {
 		BackendServer first = chosen(promptRequirements("part", 2_000));
-		this.table.othersAt("gateway-2", Map.of(first.start(), new BackendUse(9, 100_000)));
+		this.table.recordPeerUse("gateway-2", Map.of(first.incarnation(), new BackendUse(9, 100_000)));
 		assertThat(chosen(promptRequirements("part", 2_000)).id()).isNotEqualTo(first.id());
-		this.table.othersAt("gateway-2", Map.of());
+		this.table.recordPeerUse("gateway-2", Map.of());
 		assertThat(chosen(promptRequirements("part", 2_000))).isEqualTo(first);
 	}
 
@@ -191,7 +191,7 @@
 	void shouldUseAnotherServerWhenFirstTokensAreSlow() {
 		BackendServer first = chosen(promptRequirements("part", 2_000));
 		for (int i = 0; i < 30; i++) {
-			this.table.firstToken(start(first.id()), 100, 900);
+			this.table.recordFirstToken(start(first.id()), 100, 900);
 		}
 		assertThat(chosen(promptRequirements("part", 2_000)).id()).isNotEqualTo(first.id());
 	}
@@ -206,10 +206,10 @@
 	void shouldRejectLessUrgentCallsFirstWhenServersAreOverloaded(int priority) {
 		List<Integer> accepted = new ArrayList<>();
 		for (String id : List.of("s1", "s2", "s3")) {
-			this.table.sent(start(id), 40_000);
+			this.table.recordCallSent(start(id), 40_000);
 		}
 		for (int rank = 0; rank <= 2; rank++) {
-			Wish requirements = new Wish("llm", SharedParts.none(), Optional.empty(), 1_000, 500, rank);
+			CallRequirements requirements = new CallRequirements("llm", PromptPrefix.none(), Optional.empty(), 1_000, 500, rank);
 			if (this.dispatcher.choose(requirements, Set.of(), 0) instanceof Choice.Chosen) {
 				accepted.add(rank);
 			}
@@ -223,9 +223,9 @@
 	@ParameterizedTest
 	@CsvSource({ "true, 2000", "false, 0" })
 	void shouldNotRejectLateCallWhenItHasRun(boolean ran, long expectedMillis) {
-		long remainingMillis = Wish.millisLeft(600 - 2_600, 2_000, ran);
+		long remainingMillis = CallRequirements.remainingMillis(600 - 2_600, 2_000, ran);
 		assertThat(remainingMillis).isEqualTo(expectedMillis);
-		Wish requirements = new Wish("llm", SharedParts.none(), Optional.empty(), 1_000, remainingMillis, 0);
+		CallRequirements requirements = new CallRequirements("llm", PromptPrefix.none(), Optional.empty(), 1_000, remainingMillis, 0);
 		Choice choice = this.dispatcher.choose(requirements, Set.of("s1"), 0);
 		assertThat(choice instanceof Choice.Chosen).isEqualTo(ran);
 	}
@@ -234,7 +234,7 @@
 	void shouldRejectWhenAllSlotsAreInUse() {
 		for (String id : List.of("s1", "s2", "s3")) {
 			for (int i = 0; i < 4; i++) {
-				this.table.sent(start(id), 0);
+				this.table.recordCallSent(start(id), 0);
 			}
 		}
 		assertThat(this.dispatcher.choose(withoutPrompt(), Set.of(), 0)).isEqualTo(new Choice.Full(3, 0));
@@ -250,7 +250,7 @@
 
 	@Test
 	void shouldPreferOwnZoneWhenLoadIsEqual() {
-		this.table.registered(new BackendServer("s0", 0, "llm", "v1", "h:1", "b", 4, false, false, 0), LONG_AGO);
+		this.table.recordRegistration(new BackendServer("s0", 0, "llm", "v1", "h:1", "b", 4, false, false, 0), LONG_AGO);
 		assertThat(chosen(withoutPrompt()).zone()).isEqualTo("a");
 	}
 
@@ -259,8 +259,8 @@
 		Set<String> used = new HashSet<>();
 		for (int i = 0; i < 3; i++) {
 			String id = chosen(withoutPrompt()).id();
-			this.table.sent(start(id), 0);
-			this.table.ended(start(id), false, 0);
+			this.table.recordCallSent(start(id), 0);
+			this.table.recordCallEnd(start(id), false, 0);
 			used.add(id);
 		}
 		assertThat(used).hasSize(3);
@@ -270,8 +270,8 @@
 
 	@Test
 	void shouldNotChooseServerWhenItIsLeaving() {
-		this.table.registered(server("s1", true), 0);
-		this.table.registered(server("s2", true), 0);
+		this.table.recordRegistration(server("s1", true), 0);
+		this.table.recordRegistration(server("s2", true), 0);
 		assertThat(chosen(withoutPrompt()).id()).isEqualTo("s3");
 	}
 
@@ -283,22 +283,22 @@
 	void shouldRetainLapsedServerWhenRegistryRecoveredRecently(long sinceReturnMillis, long keptMillis) {
 		long now = TimeUnit.MILLISECONDS.toNanos(sinceReturnMillis);
 		long dropped = now + TimeUnit.MILLISECONDS.toNanos(keptMillis);
-		this.table.lapsed("s1", now, OptionalLong.of(0));
-		assertThat(this.table.expire(dropped - 1)).isEmpty();
-		assertThat(this.table.expire(dropped)).extracting(BackendServer::id).containsExactly("s1");
+		this.table.recordLapse("s1", now, OptionalLong.of(0));
+		assertThat(this.table.removeExpired(dropped - 1)).isEmpty();
+		assertThat(this.table.removeExpired(dropped)).extracting(BackendServer::id).containsExactly("s1");
 	}
 
 	@Test
 	void shouldRemoveServerImmediatelyWhenRegistryWasNeverUnavailable() {
-		this.table.lapsed("s1", 1_000, OptionalLong.empty());
-		assertThat(this.table.expire(1_000)).hasSize(1);
+		this.table.recordLapse("s1", 1_000, OptionalLong.empty());
+		assertThat(this.table.removeExpired(1_000)).hasSize(1);
 	}
 
 	@Test
 	void shouldRetainLapsedServerWhenItRegistersAgain() {
-		this.table.lapsed("s1", 0, OptionalLong.of(0));
-		assertThat(this.table.registered(server("s1", false), 500)).isTrue();
-		assertThat(this.table.expire(9 * SECOND)).isEmpty();
+		this.table.recordLapse("s1", 0, OptionalLong.of(0));
+		assertThat(this.table.recordRegistration(server("s1", false), 500)).isTrue();
+		assertThat(this.table.removeExpired(9 * SECOND)).isEmpty();
 	}
 
 	// The registration of a crashed server lapses only after some seconds; until then
@@ -307,15 +307,15 @@
 	void shouldAvoidServerForSomeTimeWhenCallsFailConsecutively() {
 		String failing = chosen(withoutPrompt()).id();
 		for (int i = 0; i < 2; i++) {
-			this.table.sent(start(failing), 0);
-			this.table.ended(start(failing), true, 0);
+			this.table.recordCallSent(start(failing), 0);
+			this.table.recordCallEnd(start(failing), true, 0);
 		}
 		assertThat(chosen(withoutPrompt()).id()).isNotEqualTo(failing);
 		Set<String> later = new HashSet<>();
 		for (int i = 0; i < 3; i++) {
 			Choice.Chosen chosen = (Choice.Chosen) this.dispatcher.choose(withoutPrompt(), Set.of(),
 					TimeUnit.SECONDS.toNanos(9));
-			this.table.sent(start(chosen.server().id()), 0);
+			this.table.recordCallSent(start(chosen.server().id()), 0);
 			later.add(chosen.server().id());
 		}
 		assertThat(later).contains(failing);
@@ -324,8 +324,8 @@
 	@Test
 	void shouldUseAvoidedServersWhenNoOtherIsLeft() {
 		for (String id : List.of("s1", "s2", "s3")) {
-			this.table.ended(start(id), true, 0);
-			this.table.ended(start(id), true, 0);
+			this.table.recordCallEnd(start(id), true, 0);
+			this.table.recordCallEnd(start(id), true, 0);
 		}
 		assertThat(this.dispatcher.choose(withoutPrompt(), Set.of(), 0)).isInstanceOf(Choice.Chosen.class);
 	}
@@ -339,12 +339,12 @@
 	void shouldResetLoadWhenServerRestarts() {
 		for (String id : List.of("s1", "s2", "s3")) {
 			for (int i = 0; i < 4; i++) {
-				this.table.sent(start(id), 9_000);
+				this.table.recordCallSent(start(id), 9_000);
 			}
-			this.table.othersAt("gateway-2", Map.of(start(id), new BackendUse(4, 9_000)));
+			this.table.recordPeerUse("gateway-2", Map.of(start(id), new BackendUse(4, 9_000)));
 		}
-		assertThat(this.table.registered(serverStartedAt("s2", 77, false), 0)).isTrue();
-		this.table.othersAt("gateway-2", Map.of(start("s2"), new BackendUse(4, 9_000)));
+		assertThat(this.table.recordRegistration(serverStartedAt("s2", 77, false), 0)).isTrue();
+		this.table.recordPeerUse("gateway-2", Map.of(start("s2"), new BackendUse(4, 9_000)));
 		Choice.Chosen chosen = (Choice.Chosen) this.dispatcher.choose(withoutPrompt(), Set.of(), 0);
 		assertThat(chosen.server().startedMillis()).isEqualTo(77);
 		assertThat(chosen.load()).isZero();
@@ -354,14 +354,14 @@
 	// new run, they hide calls that it really executes and count as its failures.
 	@Test
 	void shouldIgnoreCallEndsOfPreviousRunWhenServerRestarts() {
-		this.table.sent(start("s1"), 500);
-		this.table.registered(serverStartedAt("s1", 77, false), 0);
-		this.table.sent(new Start("s1", 77), 800);
-		this.table.ended(start("s1"), true, 0);
-		this.table.read(start("s1"), 500);
-		this.table.ended(start("s1"), true, 0);
-		this.table.abandoned(start("s1"));
-		assertThat(this.table.ownUse()).containsEntry(new Start("s1", 77), new BackendUse(1, 800));
+		this.table.recordCallSent(start("s1"), 500);
+		this.table.recordRegistration(serverStartedAt("s1", 77, false), 0);
+		this.table.recordCallSent(new Incarnation("s1", 77), 800);
+		this.table.recordCallEnd(start("s1"), true, 0);
+		this.table.recordPrefillEnd(start("s1"), 500);
+		this.table.recordCallEnd(start("s1"), true, 0);
+		this.table.recordCallCancelled(start("s1"));
+		assertThat(this.table.ownUse()).containsEntry(new Incarnation("s1", 77), new BackendUse(1, 800));
 		Choice.Chosen chosen = (Choice.Chosen) this.dispatcher.choose(withoutPrompt(), Set.of("s2", "s3"), 0);
 		assertThat(chosen.candidates()).isOne();
 	}
@@ -372,38 +372,38 @@
 	// calls until it has written its registration again, and its load is retained.
 	@Test
 	void shouldNotChooseServerWhenRegistrationIsInvalid() {
-		this.table.sent(start("s1"), 700);
-		this.table.unreadable("s1");
-		this.table.unreadable("never-seen");
+		this.table.recordCallSent(start("s1"), 700);
+		this.table.recordInvalidRegistration("s1");
+		this.table.recordInvalidRegistration("never-seen");
 		assertThat(this.dispatcher.choose(withoutPrompt(), Set.of("s2", "s3"), 0)).isInstanceOf(Choice.NoServer.class);
-		assertThat(this.table.registered(server("s1", false), 0)).isTrue();
+		assertThat(this.table.recordRegistration(server("s1", false), 0)).isTrue();
 		assertThat(this.table.ownUse()).containsEntry(start("s1"), new BackendUse(1, 700));
 		assertThat(this.dispatcher.choose(withoutPrompt(), Set.of("s2", "s3"), 0)).isInstanceOf(Choice.Chosen.class);
 	}
 
-	private BackendServer chosen(Wish requirements) {
+	private BackendServer chosen(CallRequirements requirements) {
 		return choose(requirements).server();
 	}
 
-	private Choice.Chosen choose(Wish requirements) {
+	private Choice.Chosen choose(CallRequirements requirements) {
 		return (Choice.Chosen) this.dispatcher.choose(requirements, Set.of(), 0);
 	}
 
-	private static SharedParts prefix(String segment) {
-		return SharedParts.of(List.of(segment), List.of(4_000));
+	private static PromptPrefix prefix(String segment) {
+		return PromptPrefix.of(List.of(segment), List.of(4_000));
 	}
 
-	private static Wish requirements(SharedParts prefix, int ownTokens) {
-		return new Wish("llm", prefix, Optional.of(new EngineSpec(4, CACHE_TOKENS, 160_000, 370_000)), ownTokens,
+	private static CallRequirements requirements(PromptPrefix prefix, int ownTokens) {
+		return new CallRequirements("llm", prefix, Optional.of(new EngineSpec(4, CACHE_TOKENS, 160_000, 370_000)), ownTokens,
 				10_000, 0);
 	}
 
-	private static Wish promptRequirements(String segment, int ownTokens) {
+	private static CallRequirements promptRequirements(String segment, int ownTokens) {
 		return requirements(prefix(segment), ownTokens);
 	}
 
-	private static Wish withoutPrompt() {
-		return new Wish("llm", SharedParts.none(), Optional.empty(), 0, 500, 0);
+	private static CallRequirements withoutPrompt() {
+		return new CallRequirements("llm", PromptPrefix.none(), Optional.empty(), 0, 500, 0);
 	}
 
 	private static BackendServer server(String id, boolean leaving) {
@@ -414,8 +414,8 @@
 		return new BackendServer(id, startedMillis, "llm", "v1", "127.0.0.1:1", "a", 4, leaving, false, 0);
 	}
 
-	private static Start start(String id) {
-		return new Start(id, 0);
+	private static Incarnation start(String id) {
+		return new Incarnation(id, 0);
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/FirstTokenModelTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/FirstTokenModelTests.java
@@ -26,7 +26,7 @@
 		Random random = new Random(7);
 		for (int i = 0; i < 800; i++) {
 			Work work = work(random);
-			this.model.learn(work, noise(random) * millis(work, base, tokensPerMilli, perCall, perPair));
+			this.model.update(work, noise(random) * millis(work, base, tokensPerMilli, perCall, perPair));
 		}
 		int accurate = 0;
 		for (int i = 0; i < 200; i++) {
@@ -36,13 +36,13 @@
 		}
 		assertThat(accurate).isGreaterThanOrEqualTo(160);
 		double typical = 4_000 / (4_000 / tokensPerMilli + 10 * perPair);
-		assertThat(this.model.tokensPerMilli()).isCloseTo(typical, within(0.25 * typical));
+		assertThat(this.model.prefillTokensPerMilli()).isCloseTo(typical, within(0.25 * typical));
 	}
 
 	@Test
 	void shouldExpectConservativelyWhenNothingIsMeasured() {
 		assertThat(this.model.expectedMillis(Work.of(0, 5_000, 5_000, 0))).isBetween(100.0, 200.0);
-		assertThat(this.model.learned()).isEmpty();
+		assertThat(this.model.fittedCoefficients()).isEmpty();
 	}
 
 	// One call is answered after a long process pause of its server. It must not make
@@ -52,7 +52,7 @@
 		updateModel(200, new Random(3), 66);
 		Work typical = Work.of(0, 4_000, 8_000, 4);
 		double before = this.model.expectedMillis(typical);
-		this.model.learn(typical, 60_000);
+		this.model.update(typical, 60_000);
 		assertThat(this.model.expectedMillis(typical)).isLessThan(1.1 * before);
 	}
 
@@ -66,9 +66,9 @@
 		for (int i = 0; i < 60; i++) {
 			int promptTokens = 1_500 + random.nextInt(9_000);
 			Work work = Work.of(0, promptTokens / 2, promptTokens, random.nextInt(4));
-			this.model.learn(work, noise(random) * millis(work, 12, 66, 0.3, 0.28));
+			this.model.update(work, noise(random) * millis(work, 12, 66, 0.3, 0.28));
 		}
-		assertThat(this.model.tokensPerMilli()).isBetween(40.0, 95.0);
+		assertThat(this.model.prefillTokensPerMilli()).isBetween(40.0, 95.0);
 	}
 
 	@Test
@@ -76,7 +76,7 @@
 		Random random = new Random(5);
 		updateModel(2_000, random, 66);
 		updateModel(2_000, random, 33);
-		assertThat(this.model.tokensPerMilli()).isCloseTo(32, within(5.0));
+		assertThat(this.model.prefillTokensPerMilli()).isCloseTo(32, within(5.0));
 	}
 
 	// A restarted process receives the coefficients that the other processes have
@@ -85,23 +85,23 @@
 	void shouldUseCoefficientsOfAnotherProcessWhenNothingIsMeasured() {
 		updateModel(200, new Random(1), 20);
 		FirstTokenModel other = new FirstTokenModel();
-		other.adopt(this.model.learned());
-		assertThat(other.tokensPerMilli()).isCloseTo(20, within(5.0));
+		other.adoptCoefficients(this.model.fittedCoefficients());
+		assertThat(other.prefillTokensPerMilli()).isCloseTo(20, within(5.0));
 	}
 
 	@ParameterizedTest
 	@ValueSource(doubles = { 0, -1, Double.NaN, Double.POSITIVE_INFINITY, 1e9 })
 	void shouldIgnoreCoefficientsWhenInvalid(double rate) {
-		double before = this.model.tokensPerMilli();
-		this.model.adopt(List.of(12.0, rate, 0.3, 0.28));
-		this.model.adopt(List.of(12.0));
-		assertThat(this.model.tokensPerMilli()).isEqualTo(before);
+		double before = this.model.prefillTokensPerMilli();
+		this.model.adoptCoefficients(List.of(12.0, rate, 0.3, 0.28));
+		this.model.adoptCoefficients(List.of(12.0));
+		assertThat(this.model.prefillTokensPerMilli()).isEqualTo(before);
 	}
 
 	private void updateModel(int calls, Random random, double tokensPerMilli) {
 		for (int i = 0; i < calls; i++) {
 			Work work = work(random);
-			this.model.learn(work, millis(work, 12, tokensPerMilli, 0.3, 0.28));
+			this.model.update(work, millis(work, 12, tokensPerMilli, 0.3, 0.28));
 		}
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/RetryAllowanceTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/RetryBudgetTests.java
@@ -8,7 +8,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class RetryAllowanceTests {
+class RetryBudgetTests {
 
 	private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -20,12 +20,12 @@
 	@ParameterizedTest
 	@CsvSource({ "0, 2", "10, 4", "100, 22" })
 	void shouldAllowRatioOfCallsAndFixedShareWhenServersFail(int calls, int retries) {
-		RetryAllowance allowance = new RetryAllowance(0.2, 32, 10_000, STARTED);
+		RetryBudget allowance = new RetryBudget(0.2, 32, 10_000, STARTED);
 		for (int i = 0; i < calls; i++) {
-			allowance.first("booking", i);
+			allowance.recordFirstAttempt("booking", i);
 		}
 		int allowed = 0;
-		while (allowance.take("booking", SECOND)) {
+		while (allowance.tryAcquire("booking", SECOND)) {
 			allowed++;
 		}
 		assertThat(allowed).isEqualTo(retries);
@@ -33,10 +33,10 @@
 
 	@Test
 	void shouldAllowRetryWhenPreviousOneHasLeftWindow() {
-		RetryAllowance allowance = new RetryAllowance(0, 16, 10_000, STARTED);
-		assertThat(allowance.take("booking", 0)).isTrue();
-		assertThat(allowance.take("booking", 9 * SECOND)).isFalse();
-		assertThat(allowance.take("booking", 10 * SECOND)).isTrue();
+		RetryBudget allowance = new RetryBudget(0, 16, 10_000, STARTED);
+		assertThat(allowance.tryAcquire("booking", 0)).isTrue();
+		assertThat(allowance.tryAcquire("booking", 9 * SECOND)).isFalse();
+		assertThat(allowance.tryAcquire("booking", 10 * SECOND)).isTrue();
 	}
 
 	// Servers of a large deployment fail, and each gateway uses its share of the fixed
@@ -48,9 +48,9 @@
 	void shouldStayWithinFixedAllowanceWhenManyProcessesRetry(int processes) {
 		int retried = 0;
 		for (int i = 0; i < processes; i++) {
-			RetryAllowance allowance = new RetryAllowance(0, 214, 10_000, STARTED);
-			allowance.processes(processes);
-			while (allowance.take("llm", 0)) {
+			RetryBudget allowance = new RetryBudget(0, 214, 10_000, STARTED);
+			allowance.setProcessCount(processes);
+			while (allowance.tryAcquire("llm", 0)) {
 				retried++;
 			}
 		}
@@ -59,9 +59,9 @@
 
 	@Test
 	void shouldCountRetriesByService() {
-		RetryAllowance allowance = new RetryAllowance(0, 16, 10_000, STARTED);
-		assertThat(allowance.take("booking", 0)).isTrue();
-		assertThat(allowance.take("llm", 0)).isTrue();
+		RetryBudget allowance = new RetryBudget(0, 16, 10_000, STARTED);
+		assertThat(allowance.tryAcquire("booking", 0)).isTrue();
+		assertThat(allowance.tryAcquire("llm", 0)).isTrue();
 	}
 
 	// All processes are killed repeatedly while servers fail. Each run used its fixed
@@ -71,11 +71,11 @@
 		int retried = 0;
 		for (int run = 0; run < 5; run++) {
 			long start = 2 * run * SECOND;
-			RetryAllowance allowance = new RetryAllowance(0.2, 64, 10_000, start);
+			RetryBudget allowance = new RetryBudget(0.2, 64, 10_000, start);
 			for (int i = 0; i < 10; i++) {
-				allowance.first("booking", start + SECOND);
+				allowance.recordFirstAttempt("booking", start + SECOND);
 			}
-			while (allowance.take("booking", start + SECOND)) {
+			while (allowance.tryAcquire("booking", start + SECOND)) {
 				retried++;
 			}
 		}
@@ -84,9 +84,9 @@
 
 	@Test
 	void shouldAllowFixedShareWhenWindowHasPassedSinceStart() {
-		RetryAllowance allowance = new RetryAllowance(0, 16, 10_000, 0);
-		assertThat(allowance.take("booking", 9 * SECOND)).isFalse();
-		assertThat(allowance.take("booking", 10 * SECOND)).isTrue();
+		RetryBudget allowance = new RetryBudget(0, 16, 10_000, 0);
+		assertThat(allowance.tryAcquire("booking", 9 * SECOND)).isFalse();
+		assertThat(allowance.tryAcquire("booking", 10 * SECOND)).isTrue();
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizePlanTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/CapacityPlannerTests.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import org.rosemaryfront.duties.SizePlan.Demand;
-import org.rosemaryfront.duties.SizePlan.Plan;
-import org.rosemaryfront.duties.SizePlan.ZoneSize;
+import org.rosemaryfront.duties.CapacityPlanner.Demand;
+import org.rosemaryfront.duties.CapacityPlanner.Plan;
+import org.rosemaryfront.duties.CapacityPlanner.ZoneSize;
 import org.rosemaryfront.routes.ServiceSpec;
 import org.rosemaryfront.routes.ServiceSpec.EngineSpec;
 import org.rosemaryfront.routes.ServiceSpec.ScalingSpec;
@@ -20,7 +20,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-class SizePlanTests {
+class CapacityPlannerTests {
 
 	private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -34,7 +34,7 @@
 	/** Spare reclaimable servers in three zones cost more than one on-demand server. */
 	private static final ServiceSpec EXPENSIVE_SPARES = service(0.4);
 
-	private final SizePlan plan = new SizePlan();
+	private final CapacityPlanner plan = new CapacityPlanner();
 
 	// Reclaims are correlated: the reclaimable servers of one zone after the other are
 	// terminated within seconds, and no order is carried out meanwhile. Only on-demand
@@ -42,8 +42,8 @@
 	@Test
 	void shouldPlanOnDemandServersWhenSparesAreExpensive() {
 		Plan sizes = this.plan.plan(EXPENSIVE_SPARES, ZONES, new Demand(320_000, PREFILL_RATE, 0, 9), 0);
-		assertThat(sizes.zones().values().stream().mapToInt(ZoneSize::lasting).sum()).isEqualTo(5);
-		assertThat(sizes.zones().get("a").lasting()).isGreaterThanOrEqualTo(sizes.zones().get("c").lasting());
+		assertThat(sizes.zones().values().stream().mapToInt(ZoneSize::onDemand).sum()).isEqualTo(5);
+		assertThat(sizes.zones().get("a").onDemand()).isGreaterThanOrEqualTo(sizes.zones().get("c").onDemand());
 	}
 
 	// Two correlated reclaims follow each other, and a single zone serves for some
@@ -54,7 +54,7 @@
 	@ValueSource(doubles = { 120_000, 200_000, 320_000, 440_000 })
 	void shouldProvideFractionInAnySingleZoneWhenSparesAreCheap(double tokens) {
 		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(tokens, PREFILL_RATE, 0, 9), 0);
-		int onDemand = sizes.zones().values().stream().mapToInt(ZoneSize::lasting).sum();
+		int onDemand = sizes.zones().values().stream().mapToInt(ZoneSize::onDemand).sum();
 		assertThat(onDemand).isEqualTo(1);
 		sizes.zones()
 			.values()
@@ -76,7 +76,7 @@
 	@Test
 	void shouldPlanOneOnDemandServerWhenThereIsNoLoad() {
 		Plan sizes = this.plan.plan(LLM, ZONES, new Demand(0, PREFILL_RATE, 0, 0), 0);
-		assertThat(sizes.zones().values().stream().mapToInt(ZoneSize::lasting).sum()).isEqualTo(1);
+		assertThat(sizes.zones().values().stream().mapToInt(ZoneSize::onDemand).sum()).isEqualTo(1);
 	}
 
 	@Test
@@ -87,7 +87,7 @@
 				.entrySet()
 				.stream()
 				.filter((zone) -> !zone.getKey().equals(lost))
-				.mapToInt((zone) -> zone.getValue().lasting() + zone.getValue().reclaimable())
+				.mapToInt((zone) -> zone.getValue().onDemand() + zone.getValue().reclaimable())
 				.sum();
 			assertThat(remaining + 2).as("without %s", lost)
 				.isGreaterThanOrEqualTo((int) Math.ceil(sizes.requiredServers()));
@@ -101,8 +101,8 @@
 			.zones()
 			.values()
 			.forEach((zone) -> {
-				assertThat(zone.lasting() + zone.reclaimable()).isBetween(1, 6);
-				assertThat(zone.lasting()).isNotNegative();
+				assertThat(zone.onDemand() + zone.reclaimable()).isBetween(1, 6);
+				assertThat(zone.onDemand()).isNotNegative();
 			});
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ReclaimWaveTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/CorrelatedReclaimTests.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import org.rosemaryfront.duties.SizePlan.Demand;
-import org.rosemaryfront.duties.SizePlan.Plan;
-import org.rosemaryfront.duties.SizePlan.ZoneSize;
+import org.rosemaryfront.duties.CapacityPlanner.Demand;
+import org.rosemaryfront.duties.CapacityPlanner.Plan;
+import org.rosemaryfront.duties.CapacityPlanner.ZoneSize;
 import org.rosemaryfront.routes.ServiceSpec;
 import org.rosemaryfront.routes.ServiceSpec.EngineSpec;
 import org.rosemaryfront.routes.ServiceSpec.ScalingSpec;
@@ -27,7 +27,7 @@
  * VM is available in any zone for twelve seconds or more. VMs take four seconds to boot.
  * Time is virtual.
  */
-class ReclaimWaveTests {
+class CorrelatedReclaimTests {
 
 	private static final long TENTH = TimeUnit.MILLISECONDS.toNanos(100);
 
@@ -41,9 +41,9 @@
 	private static final ServiceSpec LLM = new ServiceSpec("llm", 100, Optional.of(new EngineSpec(64, 500_000, 0, 0)),
 			Optional.of(new ScalingSpec(1, 12, 4_000, 0.2, Map.of("a", 0.8, "b", 1.0, "c", 1.2))));
 
-	private final SizePlan plan = new SizePlan();
+	private final CapacityPlanner plan = new CapacityPlanner();
 
-	private final SizeOrders orders = new SizeOrders();
+	private final ScalingOrders orders = new ScalingOrders();
 
 	private final Cloud cloud = new Cloud();
 
@@ -91,12 +91,12 @@
 	}
 
 	private void placeOrders(Plan planned, int tenth) {
-		for (Size size : this.orders.next(LLM, planned, this.cloud.present(), tenth * TENTH)) {
+		for (PoolSize size : this.orders.nextOrders(LLM, planned, this.cloud.present(), tenth * TENTH)) {
 			if (this.cloud.order(size, tenth)) {
-				this.orders.taken(size);
+				this.orders.recordAccepted(size);
 			}
 			else {
-				this.orders.failed(size, true, tenth * TENTH);
+				this.orders.recordFailure(size, true, tenth * TENTH);
 			}
 		}
 	}
@@ -116,15 +116,15 @@
 	 */
 	private static final class Cloud {
 
-		private final Map<Size.Pool, Integer> running = new HashMap<>();
+		private final Map<PoolSize.Pool, Integer> running = new HashMap<>();
 
-		private final Map<Size.Pool, List<Integer>> bootingByPool = new HashMap<>();
+		private final Map<PoolSize.Pool, List<Integer>> bootingByPool = new HashMap<>();
 
 		private boolean reclaimableUnavailable;
 
 		private int ordersOfSecond;
 
-		private boolean order(Size size, int tenth) {
+		private boolean order(PoolSize size, int tenth) {
 			this.ordersOfSecond++;
 			int runningServers = this.running.getOrDefault(size.pool(), 0);
 			List<Integer> bootTimes = this.bootingByPool.computeIfAbsent(size.pool(), (_) -> new ArrayList<>());
@@ -151,7 +151,7 @@
 		}
 
 		private void reclaim(String zone) {
-			Size.Pool pool = new Size.Pool("llm", zone, true);
+			PoolSize.Pool pool = new PoolSize.Pool("llm", zone, true);
 			this.running.put(pool, 0);
 			this.bootingByPool.remove(pool);
 		}
@@ -159,8 +159,8 @@
 		private Map<String, ZoneSize> present() {
 			Map<String, ZoneSize> present = new TreeMap<>();
 			for (String zone : ZONES) {
-				present.put(zone, new ZoneSize(this.running.getOrDefault(new Size.Pool("llm", zone, false), 0),
-						this.running.getOrDefault(new Size.Pool("llm", zone, true), 0)));
+				present.put(zone, new ZoneSize(this.running.getOrDefault(new PoolSize.Pool("llm", zone, false), 0),
+						this.running.getOrDefault(new PoolSize.Pool("llm", zone, true), 0)));
 			}
 			return present;
 		}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/SizeOrdersTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ScalingOrdersTests.java
@@ -8,15 +8,15 @@
 
 import org.junit.jupiter.api.Test;
 
-import org.rosemaryfront.duties.SizePlan.Plan;
-import org.rosemaryfront.duties.SizePlan.ZoneSize;
+import org.rosemaryfront.duties.CapacityPlanner.Plan;
+import org.rosemaryfront.duties.CapacityPlanner.ZoneSize;
 import org.rosemaryfront.routes.ServiceSpec;
 import org.rosemaryfront.routes.ServiceSpec.EngineSpec;
 import org.rosemaryfront.routes.ServiceSpec.ScalingSpec;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class SizeOrdersTests {
+class ScalingOrdersTests {
 
 	private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -34,13 +34,13 @@
 
 	private static final Map<String, ZoneSize> WITHOUT_B = Map.of("a", new ZoneSize(1, 2), "b", ZoneSize.NONE);
 
-	private static final Size RECLAIMABLE_IN_A = new Size("llm", "a", 2, true);
+	private static final PoolSize RECLAIMABLE_IN_A = new PoolSize("llm", "a", 2, true);
 
-	private static final Size RECLAIMABLE_IN_B = new Size("llm", "b", 2, true);
+	private static final PoolSize RECLAIMABLE_IN_B = new PoolSize("llm", "b", 2, true);
 
-	private static final Size FALLBACK = new Size("llm", "b", 1, false);
+	private static final PoolSize FALLBACK = new PoolSize("llm", "b", 1, false);
 
-	private final SizeOrders orders = new SizeOrders();
+	private final ScalingOrders orders = new ScalingOrders();
 
 	@Test
 	void shouldOrderNothingWhenPlannedServersArePresent() {
@@ -70,11 +70,11 @@
 	@Test
 	void shouldKeepBootingFallbackServersWhenAnotherZoneIsRefused() {
 		next(WITHOUT_B, 0);
-		this.orders.failed(RECLAIMABLE_IN_B, true, 0);
+		this.orders.recordFailure(RECLAIMABLE_IN_B, true, 0);
 		assertThat(next(WITHOUT_B, SECOND / 10)).containsExactly(FALLBACK);
 		Map<String, ZoneSize> remaining = Map.of("a", new ZoneSize(1, 1), "b", ZoneSize.NONE);
 		assertThat(next(remaining, SECOND / 5)).containsExactly(RECLAIMABLE_IN_A);
-		this.orders.failed(RECLAIMABLE_IN_A, true, SECOND / 5);
+		this.orders.recordFailure(RECLAIMABLE_IN_A, true, SECOND / 5);
 		assertThat(next(remaining, SECOND / 2)).isEmpty();
 	}
 
@@ -92,9 +92,9 @@
 	@Test
 	void shouldKeepFallbackServersWhenReclaimableOrderIsRepeated() {
 		next(WITHOUT_B, 0);
-		this.orders.failed(RECLAIMABLE_IN_B, true, 0);
+		this.orders.recordFailure(RECLAIMABLE_IN_B, true, 0);
 		assertThat(next(WITHOUT_B, SECOND / 10)).containsExactly(FALLBACK);
-		this.orders.taken(FALLBACK);
+		this.orders.recordAccepted(FALLBACK);
 		assertThat(next(WITHOUT_B, 2 * SECOND)).containsExactly(RECLAIMABLE_IN_B);
 		assertThat(next(WITHOUT_B, 3 * SECOND)).isEmpty();
 	}
@@ -102,13 +102,13 @@
 	@Test
 	void shouldReleaseFallbackServersWhenReclaimableServersArePresent() {
 		next(WITHOUT_B, 0);
-		this.orders.failed(RECLAIMABLE_IN_B, true, 0);
+		this.orders.recordFailure(RECLAIMABLE_IN_B, true, 0);
 		next(WITHOUT_B, SECOND);
 		Map<String, ZoneSize> withFallback = Map.of("a", new ZoneSize(1, 2), "b", new ZoneSize(1, 0));
-		this.orders.taken(RECLAIMABLE_IN_B);
+		this.orders.recordAccepted(RECLAIMABLE_IN_B);
 		assertThat(next(withFallback, 6 * SECOND)).isEmpty();
 		Map<String, ZoneSize> both = Map.of("a", new ZoneSize(1, 2), "b", new ZoneSize(1, 2));
-		assertThat(next(both, 9 * SECOND)).containsExactly(new Size("llm", "b", 0, false));
+		assertThat(next(both, 9 * SECOND)).containsExactly(new PoolSize("llm", "b", 0, false));
 	}
 
 	// Reclaims go from zone to zone while no other VM is available. Fallback servers
@@ -116,12 +116,12 @@
 	@Test
 	void shouldNotCountOnLargestZoneWhenOneIsRefused() {
 		Plan large = new Plan(4.2, 4.2, PLAN.zones());
-		this.orders.next(LLM, large, WITHOUT_B, 0);
-		this.orders.failed(RECLAIMABLE_IN_B, true, 0);
+		this.orders.nextOrders(LLM, large, WITHOUT_B, 0);
+		this.orders.recordFailure(RECLAIMABLE_IN_B, true, 0);
 		// Three servers are present and three are required; two of them may be reclaimed
 		// next.
-		assertThat(this.orders.next(LLM, large, WITHOUT_B, SECOND / 10))
-			.containsExactly(new Size("llm", "b", 2, false));
+		assertThat(this.orders.nextOrders(LLM, large, WITHOUT_B, SECOND / 10))
+			.containsExactly(new PoolSize("llm", "b", 2, false));
 	}
 
 	// Two zones are reclaimed at the same time: fallback servers for the whole shortage
@@ -130,11 +130,11 @@
 	void shouldDistributeFallbackServersWhenTwoZonesAreReclaimed() {
 		Map<String, ZoneSize> remaining = Map.of("a", new ZoneSize(1, 0), "b", ZoneSize.NONE);
 		next(remaining, 0);
-		this.orders.failed(RECLAIMABLE_IN_A, true, 0);
-		this.orders.failed(RECLAIMABLE_IN_B, true, 0);
-		List<Size> fallback = next(remaining, SECOND / 10);
-		assertThat(fallback).noneMatch(Size::reclaimable);
-		assertThat(fallback.stream().mapToInt(Size::servers).sum()).isEqualTo(2);
+		this.orders.recordFailure(RECLAIMABLE_IN_A, true, 0);
+		this.orders.recordFailure(RECLAIMABLE_IN_B, true, 0);
+		List<PoolSize> fallback = next(remaining, SECOND / 10);
+		assertThat(fallback).noneMatch(PoolSize::reclaimable);
+		assertThat(fallback.stream().mapToInt(PoolSize::servers).sum()).isEqualTo(2);
 	}
 
 	// A zone is reclaimed while the plan moves from reclaimable to on-demand servers: a
@@ -142,9 +142,9 @@
 	@Test
 	void shouldReleaseNoServerWhenAnotherIsMissing() {
 		Plan smaller = new Plan(2.8, 2.8, new TreeMap<>(Map.of("a", new ZoneSize(1, 1), "b", new ZoneSize(1, 1))));
-		assertThat(this.orders.next(LLM, smaller, WITHOUT_B, 0)).noneMatch((size) -> size.zone().equals("a"));
-		assertThat(this.orders.next(LLM, smaller, COMPLETE, 9 * SECOND)).contains(new Size("llm", "a", 1, true),
-				new Size("llm", "b", 1, true));
+		assertThat(this.orders.nextOrders(LLM, smaller, WITHOUT_B, 0)).noneMatch((size) -> size.zone().equals("a"));
+		assertThat(this.orders.nextOrders(LLM, smaller, COMPLETE, 9 * SECOND)).contains(new PoolSize("llm", "a", 1, true),
+				new PoolSize("llm", "b", 1, true));
 	}
 
 	// A traffic peak is over: fallback servers for it would cost five times as much as
@@ -152,21 +152,21 @@
 	@Test
 	void shouldOrderNoFallbackServersWhenPeakIsOver() {
 		Plan afterPeak = new Plan(11, 1.4, PLAN.zones());
-		this.orders.next(LLM, afterPeak, WITHOUT_B, 0);
-		this.orders.failed(RECLAIMABLE_IN_B, true, 0);
-		assertThat(this.orders.next(LLM, afterPeak, WITHOUT_B, SECOND / 10)).isEmpty();
+		this.orders.nextOrders(LLM, afterPeak, WITHOUT_B, 0);
+		this.orders.recordFailure(RECLAIMABLE_IN_B, true, 0);
+		assertThat(this.orders.nextOrders(LLM, afterPeak, WITHOUT_B, SECOND / 10)).isEmpty();
 	}
 
 	@Test
 	void shouldDelayRetryWhenOrderFailed() {
 		next(WITHOUT_B, 0);
-		this.orders.failed(RECLAIMABLE_IN_B, false, 0);
+		this.orders.recordFailure(RECLAIMABLE_IN_B, false, 0);
 		assertThat(next(WITHOUT_B, SECOND / 2)).isEmpty();
 		assertThat(next(WITHOUT_B, 2 * SECOND)).containsExactly(RECLAIMABLE_IN_B);
 	}
 
-	private List<Size> next(Map<String, ZoneSize> present, long now) {
-		return this.orders.next(LLM, PLAN, present, now);
+	private List<PoolSize> next(Map<String, ZoneSize> present, long now) {
+		return this.orders.nextOrders(LLM, PLAN, present, now);
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/UsageLedgerTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/UsageLedgerTests.java
@@ -14,10 +14,10 @@
 
 	@Test
 	void shouldCountByWindowAndOrganisation() {
-		this.ledger.began("sfax", 10_000);
-		this.ledger.began("sfax", 14_999);
-		this.ledger.began("tunis", 12_000);
-		this.ledger.began("sfax", 15_000);
+		this.ledger.recordStart("sfax", 10_000);
+		this.ledger.recordStart("sfax", 14_999);
+		this.ledger.recordStart("tunis", 12_000);
+		this.ledger.recordStart("sfax", 15_000);
 		assertThat(this.ledger.close(15_200)).containsExactly(new Window(2, Map.of("sfax", 2L, "tunis", 1L)));
 		assertThat(this.ledger.close(20_200)).containsExactly(new Window(3, Map.of("sfax", 1L)));
 	}
@@ -26,22 +26,22 @@
 	// were closed too early, the report would lack the call.
 	@Test
 	void shouldKeepWindowOpenWhenItEndedRecently() {
-		this.ledger.began("sfax", 14_999);
+		this.ledger.recordStart("sfax", 14_999);
 		assertThat(this.ledger.close(15_199)).isEmpty();
 		assertThat(this.ledger.close(15_200)).hasSize(1);
 	}
 
 	@Test
 	void shouldReturnCountsOfCurrentWindowWhenItIsNotOver() {
-		this.ledger.began("sfax", 14_999);
-		this.ledger.began("sfax", 16_000);
+		this.ledger.recordStart("sfax", 14_999);
+		this.ledger.recordStart("sfax", 16_000);
 		assertThat(this.ledger.current(16_500)).isEqualTo(new Window(3, Map.of("sfax", 1L)));
 		assertThat(this.ledger.current(21_000)).isEqualTo(new Window(4, Map.of()));
 	}
 
 	@Test
 	void shouldReturnUnfinishedWindowWhenAllAreClosed() {
-		this.ledger.began("sfax", 16_000);
+		this.ledger.recordStart("sfax", 16_000);
 		assertThat(this.ledger.closeAll()).containsExactly(new Window(3, Map.of("sfax", 1L)));
 		assertThat(this.ledger.closeAll()).isEmpty();
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/fleet/FleetTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/fleet/FleetTests.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 import org.rosemaryfront.fleet.Fleet.Confirmation;
-import org.rosemaryfront.fleet.Fleet.Hearing;
+import org.rosemaryfront.fleet.Fleet.ReportStatus;
 import org.rosemaryfront.fleet.Fleet.Report;
 import org.rosemaryfront.fleet.Fleet.Sharing;
 import org.rosemaryfront.tables.Role;
@@ -28,9 +28,9 @@
 
 	@BeforeEach
 	void addGateways() {
-		this.fleet.found("gateway-2", 0);
-		this.fleet.found("gateway-3", 0);
-		this.fleet.told(1, 0);
+		this.fleet.addGateway("gateway-2", 0);
+		this.fleet.addGateway("gateway-3", 0);
+		this.fleet.reportSent(1, 0);
 	}
 
 	// Guards against a process that starts during an outage of the store and knows no
@@ -46,20 +46,20 @@
 	// each would make as many as all together may.
 	@Test
 	void shouldAssumeManyGatewaysWhenTableOfGatewaysWasNotRead() {
-		assertThat(this.fleet.serving(0)).isGreaterThan(100);
-		this.fleet.complete();
-		assertThat(this.fleet.serving(0)).isEqualTo(3);
+		assertThat(this.fleet.servingCount(0)).isGreaterThan(100);
+		this.fleet.gatewaysListed();
+		assertThat(this.fleet.servingCount(0)).isEqualTo(3);
 	}
 
 	@Test
 	void shouldHaveOnlyItsOwnPartWhenNoGatewayConfirms() {
-		this.fleet.complete();
+		this.fleet.gatewaysListed();
 		assertThat(this.fleet.sharing(0)).isEqualTo(new Sharing(3, 1, true, 1));
 	}
 
 	@Test
 	void shouldShareWithGatewaysWhenTheyConfirm() {
-		this.fleet.complete();
+		this.fleet.gatewaysListed();
 		receive(2, 1, 0);
 		receive(3, 1, 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(3);
@@ -69,7 +69,7 @@
 	// none: it admits its own part, so that its reported use must not count as shared.
 	@Test
 	void shouldNotShareWithGatewayWhenItDoesNotConfirm() {
-		this.fleet.complete();
+		this.fleet.gatewaysListed();
 		receive(2, 1, 0);
 		receive(3, 0, 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(2);
@@ -79,10 +79,10 @@
 	// arrive when the process resumes, and are as old as the pause.
 	@Test
 	void shouldNotShareWhenReportsWaitedInSocket() {
-		this.fleet.complete();
+		this.fleet.gatewaysListed();
 		receive(2, 1, 4 * SECOND);
 		assertThat(this.fleet.sharing(4 * SECOND).group()).isEqualTo(1);
-		this.fleet.told(2, 4 * SECOND);
+		this.fleet.reportSent(2, 4 * SECOND);
 		receive(2, 2, 4 * SECOND);
 		assertThat(this.fleet.sharing(4 * SECOND).group()).isEqualTo(2);
 	}
@@ -91,16 +91,16 @@
 	// stopped during it, so that they appear recent afterwards.
 	@Test
 	void shouldNotShareWhenReportsAreFromBeforeSuspension() {
-		this.fleet.complete();
-		this.fleet.forgetConfirmations();
+		this.fleet.gatewaysListed();
+		this.fleet.discardConfirmations();
 		receive(2, 1, 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(1);
 	}
 
 	@Test
 	void shouldIgnoreConfirmationWhenItIsOfEarlierStart() {
-		this.fleet.complete();
-		this.fleet.heard(new Report("gateway-2", 2, 1, false, 0, false, Optional.of(new Confirmation(SELF + 1, 1))), 0);
+		this.fleet.gatewaysListed();
+		this.fleet.reportReceived(new Report("gateway-2", 2, 1, false, 0, false, Optional.of(new Confirmation(SELF + 1, 1))), 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(1);
 	}
 
@@ -114,8 +114,8 @@
 
 	@Test
 	void shouldReturnLastReportThatAllConfirmed() {
-		this.fleet.complete();
-		this.fleet.told(2, SECOND / 4);
+		this.fleet.gatewaysListed();
+		this.fleet.reportSent(2, SECOND / 4);
 		receive(2, 2, SECOND / 4);
 		receive(3, 1, SECOND / 4);
 		assertThat(this.fleet.sharing(SECOND / 4).confirmed()).isEqualTo(1);
@@ -127,27 +127,27 @@
 	@ParameterizedTest
 	@CsvSource({ "0.5, true", "1.2, false" })
 	void shouldNotAgreeWhenGroupsDifferTooLong(double seconds, boolean agreed) {
-		this.fleet.complete();
+		this.fleet.gatewaysListed();
 		receive(2, 1, 0);
 		this.fleet.sharing(0);
 		long now = (long) (seconds * SECOND);
-		this.fleet.told(2, now);
+		this.fleet.reportSent(2, now);
 		receive(2, 2, now);
 		assertThat(this.fleet.sharing(now).agreed()).isEqualTo(agreed);
 	}
 
 	@Test
 	void shouldReturnFirstWhenSenderWaitsForConfirmation() {
-		assertThat(receive(report(2, 1), 0)).isEqualTo(Hearing.FIRST);
-		assertThat(receive(report(2, 2), SECOND)).isEqualTo(Hearing.CURRENT);
-		assertThat(receive(report(22, 1), 2 * SECOND)).isEqualTo(Hearing.FIRST);
+		assertThat(receive(report(2, 1), 0)).isEqualTo(ReportStatus.FIRST);
+		assertThat(receive(report(2, 2), SECOND)).isEqualTo(ReportStatus.CURRENT);
+		assertThat(receive(report(22, 1), 2 * SECOND)).isEqualTo(ReportStatus.FIRST);
 	}
 
 	// Guards against a datagram that is delayed and overtaken by later ones.
 	@Test
 	void shouldDropReportWhenLaterOneArrivedBefore() {
 		receive(report(2, 5), 0);
-		assertThat(receive(report(2, 4), 0)).isEqualTo(Hearing.LATE);
+		assertThat(receive(report(2, 4), 0)).isEqualTo(ReportStatus.LATE);
 		assertThat(this.fleet.confirmation("gateway-2", 0)).contains(new Confirmation(2, 5));
 	}
 
@@ -155,10 +155,10 @@
 	// confirmation that the sender of the first report waits for.
 	@Test
 	void shouldUseConfirmationWhenReportIsRepeated() {
-		this.fleet.complete();
+		this.fleet.gatewaysListed();
 		receive(report(2, 5), 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(1);
-		this.fleet.heard(new Report("gateway-2", 2, 5, false, 0, false, Optional.of(new Confirmation(SELF, 1))), 0);
+		this.fleet.reportReceived(new Report("gateway-2", 2, 5, false, 0, false, Optional.of(new Confirmation(SELF, 1))), 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(2);
 	}
 
@@ -168,27 +168,27 @@
 	void shouldDropReportWhenItIsOfEarlierStart() {
 		receive(report(2, 900), 0);
 		receive(report(22, 1), 0);
-		assertThat(receive(report(2, 901), 0)).isEqualTo(Hearing.LATE);
+		assertThat(receive(report(2, 901), 0)).isEqualTo(ReportStatus.LATE);
 		assertThat(this.fleet.confirmation("gateway-2", 0)).contains(new Confirmation(22, 1));
 	}
 
 	@Test
 	void shouldReturnTimedOutGatewayOnceUntilItReportsAgain() {
 		receive(report(2, 1), 0);
-		assertThat(this.fleet.living()).isEqualTo(2);
-		assertThat(this.fleet.fallenSilent(2 * SECOND)).isEmpty();
-		assertThat(this.fleet.fallenSilent(3 * SECOND)).containsExactly("gateway-2");
-		assertThat(this.fleet.fallenSilent(4 * SECOND)).isEmpty();
-		assertThat(this.fleet.isLiving("gateway-2")).isFalse();
+		assertThat(this.fleet.liveCount()).isEqualTo(2);
+		assertThat(this.fleet.timedOut(2 * SECOND)).isEmpty();
+		assertThat(this.fleet.timedOut(3 * SECOND)).containsExactly("gateway-2");
+		assertThat(this.fleet.timedOut(4 * SECOND)).isEmpty();
+		assertThat(this.fleet.isLive("gateway-2")).isFalse();
 		receive(report(2, 2), 5 * SECOND);
-		assertThat(this.fleet.isLiving("gateway-2")).isTrue();
+		assertThat(this.fleet.isLive("gateway-2")).isTrue();
 	}
 
 	@Test
 	void shouldNotCountGatewayWhenItLeft() {
-		this.fleet.complete();
-		this.fleet.heard(new Report("gateway-2", 2, 1, true, 0, false, Optional.empty()), 0);
-		assertThat(this.fleet.serving(0)).isEqualTo(2);
+		this.fleet.gatewaysListed();
+		this.fleet.reportReceived(new Report("gateway-2", 2, 1, true, 0, false, Optional.empty()), 0);
+		assertThat(this.fleet.servingCount(0)).isEqualTo(2);
 	}
 
 	// When one of three gateways has terminated, its part is lost until the others take
@@ -197,21 +197,21 @@
 	@ParameterizedTest
 	@CsvSource({ "true, 2", "false, 3" })
 	void shouldTakeOverPartOfUnresponsiveGatewayOnlyWhenMostArePresent(boolean secondReports, int serving) {
-		this.fleet.complete();
+		this.fleet.gatewaysListed();
 		if (secondReports) {
 			receive(2, 1, 29 * SECOND);
 		}
-		assertThat(this.fleet.serving(29 * SECOND)).isEqualTo(3);
-		assertThat(this.fleet.serving(31 * SECOND)).isEqualTo(serving);
+		assertThat(this.fleet.servingCount(29 * SECOND)).isEqualTo(3);
+		assertThat(this.fleet.servingCount(31 * SECOND)).isEqualTo(serving);
 	}
 
 	@Test
 	void shouldCountRemovedGatewayWhenItReportsAgain() {
-		this.fleet.complete();
+		this.fleet.gatewaysListed();
 		receive(2, 1, 29 * SECOND);
-		assertThat(this.fleet.serving(31 * SECOND)).isEqualTo(2);
+		assertThat(this.fleet.servingCount(31 * SECOND)).isEqualTo(2);
 		receive(3, 1, 32 * SECOND);
-		assertThat(this.fleet.serving(32 * SECOND)).isEqualTo(3);
+		assertThat(this.fleet.servingCount(32 * SECOND)).isEqualTo(3);
 	}
 
 	// Three of ten gateways read the store's tables, and all gateways choose the same
@@ -241,17 +241,17 @@
 		Fleet fleet = new Fleet(SELF);
 		names.stream()
 			.filter((name) -> !name.equals(self))
-			.forEach((name) -> fleet.heard(new Report(name, name.hashCode(), 1, false, 0, reads, Optional.empty()), 0));
+			.forEach((name) -> fleet.reportReceived(new Report(name, name.hashCode(), 1, false, 0, reads, Optional.empty()), 0));
 		return fleet;
 	}
 
 	private void receive(int start, int confirmed, long nowNanos) {
-		this.fleet.heard(new Report("gateway-" + start, start, 1, false, 0, false,
+		this.fleet.reportReceived(new Report("gateway-" + start, start, 1, false, 0, false,
 				Optional.of(new Confirmation(SELF, confirmed))), nowNanos);
 	}
 
-	private Hearing receive(Report report, long nowNanos) {
-		return this.fleet.heard(report, nowNanos);
+	private ReportStatus receive(Report report, long nowNanos) {
+		return this.fleet.reportReceived(report, nowNanos);
 	}
 
 	private static Report report(int start, int number) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/lease/LeaseMachineTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/lease/LeaseMachineTests.java
@@ -14,9 +14,9 @@
 
 	private static final long MILLI = 1_000_000;
 
-	private static final LeaseTerms TERMS = LeaseTerms.of(Duration.ofSeconds(10), Duration.ofSeconds(1));
+	private static final LeaseTiming TERMS = LeaseTiming.of(Duration.ofSeconds(10), Duration.ofSeconds(1));
 
-	private final LeaseMachine lease = LeaseMachine.of("vm-1", TERMS, 1);
+	private final LeaseStateMachine lease = LeaseStateMachine.of("vm-1", TERMS, 1);
 
 	// -- acquisition
 
@@ -26,7 +26,7 @@
 		assertThat(write.takeOver()).isTrue();
 		assertThat(write.row().fence()).isEqualTo(1);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), 5 * MILLI);
-		assertThat(this.lease.mayOrder(5 * MILLI)).isTrue();
+		assertThat(this.lease.maySendOrders(5 * MILLI)).isTrue();
 		assertThat(this.lease.fence()).isEqualTo(1);
 	}
 
@@ -63,7 +63,7 @@
 	void shouldNotReadWhenHolderAnnouncesItself() {
 		read(0, Optional.of(new LeaseRow("vm-2", 7, 10_000, "x")), 3);
 		for (long millis = 0; millis < 60_000; millis += 250) {
-			this.lease.heldElsewhere(millis * MILLI);
+			this.lease.holderAnnounced(millis * MILLI);
 			assertThat(this.lease.tick(millis * MILLI)).isEmpty();
 		}
 	}
@@ -71,7 +71,7 @@
 	@Test
 	void shouldReadWhenAnnouncementOfHolderExpired() {
 		read(0, Optional.of(new LeaseRow("vm-2", 7, 10_000, "x")), 3);
-		this.lease.heldElsewhere(20_000 * MILLI);
+		this.lease.holderAnnounced(20_000 * MILLI);
 		assertThat(this.lease.tick(20_900 * MILLI)).isEmpty();
 		assertThat(this.lease.tick(26_000 * MILLI)).isNotEmpty();
 	}
@@ -84,8 +84,8 @@
 	void shouldNotSendOrdersWhenPausedPastTerm() {
 		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), MILLI);
-		assertThat(this.lease.mayOrder(8_999 * MILLI)).isTrue();
-		assertThat(this.lease.mayOrder(9_000 * MILLI)).isFalse();
+		assertThat(this.lease.maySendOrders(8_999 * MILLI)).isTrue();
+		assertThat(this.lease.maySendOrders(9_000 * MILLI)).isFalse();
 	}
 
 	// The response to the acquiring write is seconds late. The term must count from
@@ -103,7 +103,7 @@
 	void shouldRecogniseOwnWriteWhenResponseIsLost() {
 		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteUnknown(write.row().token()), 1_000 * MILLI);
-		assertThat(this.lease.mayOrder(1_000 * MILLI)).isFalse();
+		assertThat(this.lease.maySendOrders(1_000 * MILLI)).isFalse();
 		read(1_500 * MILLI, Optional.of(write.row()), 1);
 		assertThat(this.lease.remainingNanos(1_500 * MILLI)).isEqualTo(7_500 * MILLI);
 	}
@@ -119,7 +119,7 @@
 					case LeaseCommand.Write renewal -> new LeaseEvent.WriteUnknown(renewal.row().token());
 				}, now * MILLI);
 			}
-			assertThat(this.lease.mayOrder(now * MILLI)).isEqualTo(now < 9_000);
+			assertThat(this.lease.maySendOrders(now * MILLI)).isEqualTo(now < 9_000);
 		}
 	}
 
@@ -129,7 +129,7 @@
 		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), MILLI);
 		read(4_000 * MILLI, Optional.of(new LeaseRow("vm-2", fence, 10_000, "x")), 2);
-		assertThat(this.lease.mayOrder(4_000 * MILLI)).isFalse();
+		assertThat(this.lease.maySendOrders(4_000 * MILLI)).isFalse();
 	}
 
 	// The response to a read that timed out arrives late, with an outdated row: the
@@ -150,8 +150,8 @@
 	void shouldAcquireAndExpireWhereverClockStarts(long start) {
 		LeaseCommand.Write write = acquire(start);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), start + 5 * MILLI);
-		assertThat(this.lease.mayOrder(start + 8_999 * MILLI)).isTrue();
-		assertThat(this.lease.mayOrder(start + 9_000 * MILLI)).isFalse();
+		assertThat(this.lease.maySendOrders(start + 8_999 * MILLI)).isTrue();
+		assertThat(this.lease.maySendOrders(start + 9_000 * MILLI)).isFalse();
 		assertThat(writes(start + 9_000 * MILLI)).hasSize(1);
 	}
 
@@ -162,7 +162,7 @@
 		LeaseCommand.Write write = acquire(0);
 		this.lease.accept(new LeaseEvent.WriteCommitted(write.row().token(), 1), MILLI);
 		this.lease.release(2 * MILLI);
-		assertThat(this.lease.mayOrder(2 * MILLI)).isFalse();
+		assertThat(this.lease.maySendOrders(2 * MILLI)).isFalse();
 		LeaseCommand.Write release = writes(2 * MILLI).getFirst();
 		assertThat(release.row().isReleased()).isTrue();
 		assertThat(release.row().fence()).isEqualTo(1);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleet.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleet.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 
 import org.rosemaryfront.fleet.Fleet;
-import org.rosemaryfront.fleet.Fleet.Hearing;
+import org.rosemaryfront.fleet.Fleet.ReportStatus;
 import org.rosemaryfront.fleet.Fleet.Report;
 import org.rosemaryfront.quota.QuotaTable.Use;
 import org.rosemaryfront.routes.Organisation;
@@ -59,7 +59,7 @@
 	private QuotaFleet(int count, long seed, Load load) {
 		this.load = load;
 		this.organisation = new Organisation("sfax", List.of("k"), OptionalInt.empty(),
-				load.quota / 10 / (WINDOW_MILLIS / 1_000.0), load.quota * 0.9, Organisation.Counts.TOKENS, 1);
+				load.quota / 10 / (WINDOW_MILLIS / 1_000.0), load.quota * 0.9, Organisation.QuotaUnit.TOKENS, 1);
 		this.count = count;
 		this.random = new Random(seed);
 	}
@@ -292,16 +292,16 @@
 			this.fleet = new Fleet(this.process.hashCode());
 			for (int other = 0; other < QuotaFleet.this.count; other++) {
 				if (other != index) {
-					this.fleet.found("gateway-" + other, nowNanos());
+					this.fleet.addGateway("gateway-" + other, nowNanos());
 				}
 			}
-			this.fleet.complete();
+			this.fleet.gatewaysListed();
 			this.nextReportMillis = startedMillis + QuotaFleet.this.random.nextInt((int) reportIntervalMillis());
 			this.nextTickMillis = startedMillis + QuotaFleet.this.random.nextInt(TICK_MILLIS);
 		}
 
 		private long reportIntervalMillis() {
-			return TimeUnit.NANOSECONDS.toMillis(this.fleet.reportNanos());
+			return TimeUnit.NANOSECONDS.toMillis(this.fleet.reportIntervalNanos());
 		}
 
 		private void pause(boolean paused) {
@@ -324,13 +324,13 @@
 		private void receive(ReportInTransit delivery) {
 			if (!this.cutLinks.getOrDefault(delivery.from, false)) {
 				whenRunning(() -> {
-					Hearing status = this.fleet.heard(delivery.report, nowNanos());
-					if (status == Hearing.LATE) {
+					ReportStatus status = this.fleet.reportReceived(delivery.report, nowNanos());
+					if (status == ReportStatus.LATE) {
 						return;
 					}
 					Map<String, Use> uses = delivery.use.map((use) -> Map.of("sfax", use)).orElse(Map.of());
-					this.table.usedByOther(delivery.process, uses, nowNanos());
-					if (status == Hearing.FIRST) {
+					this.table.reportReceived(delivery.process, uses, nowNanos());
+					if (status == ReportStatus.FIRST) {
 						repeatReport(delivery.from);
 					}
 				});
@@ -360,9 +360,9 @@
 
 		private void sendReports() {
 			this.group = this.fleet.group(nowNanos());
-			this.use = Optional.ofNullable(this.table.used(nowNanos()).get("sfax"));
-			this.table.told(this.number, nowNanos());
-			this.fleet.told(this.number, nowNanos());
+			this.use = Optional.ofNullable(this.table.useToReport(nowNanos()).get("sfax"));
+			this.table.reportSent(this.number, nowNanos());
+			this.fleet.reportSent(this.number, nowNanos());
 			for (int to = 0; to < QuotaFleet.this.gateways.size(); to++) {
 				if (to != this.index) {
 					send(to);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaTableTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaTableTests.java
@@ -60,8 +60,8 @@
 	@Test
 	void shouldCountUseBeforeFirstReportWhenProcessHasJustStarted() {
 		QuotaTable running = table(-8 * SECOND);
-		running.usedByOther("gateway-2", Map.of("sfax", new Use(700, 0, true)), 0);
-		running.usedByOther("gateway-3", Map.of("sfax", new Use(90_000, 0, false)), 0);
+		running.reportReceived("gateway-2", Map.of("sfax", new Use(700, 0, true)), 0);
+		running.reportReceived("gateway-3", Map.of("sfax", new Use(90_000, 0, false)), 0);
 		assertThat(running.take(SFAX, 0, 0).used()).isEqualTo(700);
 	}
 
@@ -69,9 +69,9 @@
 	// ninth of the use and would admit the whole quota.
 	@Test
 	void shouldCountUseThatOtherProcessesReport() {
-		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(9_000, 0, false)), 0);
-		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(9_500, 0, false)), 0);
-		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(9_800, 0, false)), SECOND);
+		this.quotas.reportReceived("gateway-2", Map.of("sfax", new Use(9_000, 0, false)), 0);
+		this.quotas.reportReceived("gateway-2", Map.of("sfax", new Use(9_500, 0, false)), 0);
+		this.quotas.reportReceived("gateway-2", Map.of("sfax", new Use(9_800, 0, false)), SECOND);
 		assertThat(this.quotas.take(SFAX, 51, 7 * SECOND).waitMillis()).isPositive();
 		assertThat(this.quotas.take(SFAX, 50, 7 * SECOND).waitMillis()).isZero();
 	}
@@ -81,16 +81,16 @@
 	// another one was taken for old use at all other processes.
 	@Test
 	void shouldCountFirstUseWhenProcessReportedBefore() {
-		this.quotas.usedByOther("gateway-2", Map.of(), 0);
-		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(500, 0, false)), SECOND);
+		this.quotas.reportReceived("gateway-2", Map.of(), 0);
+		this.quotas.reportReceived("gateway-2", Map.of("sfax", new Use(500, 0, false)), SECOND);
 		assertThat(this.quotas.take(SFAX, 0, SECOND).used()).isEqualTo(500);
 	}
 
 	@Test
 	void shouldCountRepeatedReportOnce() {
-		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(0, 0, false)), 0);
-		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(500, 0, false)), 0);
-		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(500, 0, false)), MILLI);
+		this.quotas.reportReceived("gateway-2", Map.of("sfax", new Use(0, 0, false)), 0);
+		this.quotas.reportReceived("gateway-2", Map.of("sfax", new Use(500, 0, false)), 0);
+		this.quotas.reportReceived("gateway-2", Map.of("sfax", new Use(500, 0, false)), MILLI);
 		assertThat(this.quotas.take(SFAX, 170, 6 * SECOND).waitMillis()).isZero();
 		assertThat(this.quotas.take(SFAX, 170, 7 * SECOND + 900 * MILLI).waitMillis()).isZero();
 	}
@@ -153,7 +153,7 @@
 	void shouldGiveBackUnitsWhenCallDidNotRun() {
 		this.quotas.take(SFAX, 170, 0);
 		this.quotas.giveBack("sfax", 100, 0, 0);
-		assertThat(this.quotas.used(0).get("sfax").units()).isEqualTo(70);
+		assertThat(this.quotas.useToReport(0).get("sfax").units()).isEqualTo(70);
 		assertThat(this.quotas.take(SFAX, 100, 0).waitMillis()).isZero();
 	}
 
@@ -194,9 +194,9 @@
 	@Test
 	void shouldTakeOnlyItsShareWhenOthersHaveNotConfirmed() {
 		this.quotas.sharing(new Sharing(9, 9, true, 0));
-		this.quotas.usedByOther("gateway-2", Map.of("sfax", new Use(450, 270, true)), 7 * SECOND);
+		this.quotas.reportReceived("gateway-2", Map.of("sfax", new Use(450, 270, true)), 7 * SECOND);
 		assertThat(takenOfTens(30, 8 * SECOND - MILLI)).isBetween(10, 100);
-		this.quotas.told(1, 8 * SECOND - MILLI);
+		this.quotas.reportSent(1, 8 * SECOND - MILLI);
 		this.quotas.sharing(new Sharing(9, 9, true, 1));
 		assertThat(this.quotas.take(SFAX, 10, 8 * SECOND - MILLI).unconfirmed()).isZero();
 	}
@@ -269,7 +269,7 @@
 				for (int j = 0; i < 6 && j < 6; j++) {
 					if (j != i) {
 						joined.get(j)
-							.usedByOther("gateway-" + i, Map.of("sfax", new Use(used[i], 0, true)), now * MILLI);
+							.reportReceived("gateway-" + i, Map.of("sfax", new Use(used[i], 0, true)), now * MILLI);
 					}
 				}
 			}
@@ -329,7 +329,7 @@
 	}
 
 	private static Organisation organisation(double perSecond) {
-		return new Organisation("sfax", List.of("k"), OptionalInt.empty(), perSecond, 50, Organisation.Counts.REQUESTS,
+		return new Organisation("sfax", List.of("k"), OptionalInt.empty(), perSecond, 50, Organisation.QuotaUnit.REQUESTS,
 				1);
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutSimulation.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutSimulation.java
@@ -88,7 +88,7 @@
 		}
 		for (int i = 0; i < SERVERS; i++) {
 			this.servers.add(server("old-" + i, "v1"));
-			this.servers.add(server("new-" + i, this.order.to()));
+			this.servers.add(server("new-" + i, this.order.targetVersion()));
 		}
 	}
 
@@ -143,14 +143,14 @@
 		}
 		Gateway deciding = this.gateways.get(this.holder);
 		Optional<Phase> next = RolloutPlan.next(this.order, this.phase, deciding.rollout.verdict(), this.nowMillis,
-				new RolloutPlan.Servers(SERVERS, SERVERS, 0));
+				new RolloutPlan.ServerCounts(SERVERS, SERVERS, 0));
 		next.ifPresent((phase) -> {
 			this.phase = phase;
 			if (phase.isFinal()) {
 				this.decidedMillis = Optional.of(this.nowMillis);
 			}
 		});
-		deciding.rollout.said(this.phase, nanos());
+		deciding.rollout.phaseAnnounced(this.phase, nanos());
 	}
 
 	private void call() {
@@ -159,11 +159,11 @@
 		for (int i = 0; i < count; i++) {
 			Gateway gateway = this.gateways.get(this.random.nextInt(this.gateways.size()));
 			String route = ROUTES[this.random.nextInt(ROUTES.length)];
-			Versions rule = gateway.rollout.versions(this.servers, false, this.random.nextDouble(), nanos()).getFirst();
+			VersionRule rule = gateway.rollout.versionRules(this.servers, false, this.random.nextDouble(), nanos()).getFirst();
 			boolean isCandidate = rule.allows(this.servers.get(1)) && !rule.allows(this.servers.get(0));
 			boolean failing = this.random.nextDouble() < (isCandidate
 					? this.failureModel.failingShare(route, this.nowMillis) : BASELINE_FAILING_SHARE);
-			gateway.rollout.ended(route, isCandidate, failing);
+			gateway.rollout.recordCall(route, isCandidate, failing);
 			count(isCandidate, failing);
 		}
 	}
@@ -185,15 +185,15 @@
 	private void report() {
 		boolean isHeld = this.nowMillis >= this.holderFromMillis;
 		for (Gateway from : this.gateways) {
-			Map<String, Tally> totals = from.rollout.own();
+			Map<String, Tally> totals = from.rollout.ownTallies();
 			boolean announces = isHeld && from == this.gateways.get(this.holder);
 			for (Gateway to : this.gateways) {
 				if (to != from && this.random.nextDouble() < REPORT_LOSS) {
 					continue;
 				}
-				to.rollout.counted(from.name, totals, nanos());
+				to.rollout.recordReport(from.name, totals, nanos());
 				if (announces) {
-					to.rollout.said(this.phase, nanos());
+					to.rollout.phaseAnnounced(this.phase, nanos());
 				}
 			}
 		}
