--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutTests.java
@@ -13,7 +13,7 @@
 
 import org.rosemaryfront.dispatch.BackendServer;
 import org.rosemaryfront.rollout.RolloutEvaluator.Verdict;
-import org.rosemaryfront.rollout.RolloutPlan.Servers;
+import org.rosemaryfront.rollout.RolloutPlan.ServerCounts;
 import org.rosemaryfront.rollout.Tally.Counts;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -35,7 +35,7 @@
 	}
 
 	private boolean allows(BackendServer server, double draw, long millis) {
-		return this.rollout.versions(BOTH, false, draw, TimeUnit.MILLISECONDS.toNanos(millis))
+		return this.rollout.versionRules(BOTH, false, draw, TimeUnit.MILLISECONDS.toNanos(millis))
 			.getFirst()
 			.allows(server);
 	}
@@ -47,7 +47,7 @@
 	@Test
 	void shouldNotUseCandidateWhenAnnouncementExpired() {
 		assertThat(allows(CANDIDATE, 0, 0)).isFalse();
-		this.rollout.said(Phase.TRIAL, 0);
+		this.rollout.phaseAnnounced(Phase.TRIAL, 0);
 		assertThat(allows(CANDIDATE, 0, 1_000)).isTrue();
 		assertThat(allows(CANDIDATE, 0, 3_000)).isFalse();
 		assertThat(allows(BASELINE, 0, 3_000)).isTrue();
@@ -55,7 +55,7 @@
 
 	@Test
 	void shouldSendSmallShareToCandidateInTrialPhase() {
-		this.rollout.said(Phase.TRIAL, 0);
+		this.rollout.phaseAnnounced(Phase.TRIAL, 0);
 		assertThat(allows(CANDIDATE, 0.07, 0)).isTrue();
 		assertThat(allows(CANDIDATE, 0.1, 0)).isFalse();
 		assertThat(allows(BASELINE, 0.1, 0)).isTrue();
@@ -63,45 +63,45 @@
 
 	@Test
 	void shouldSendRetryToBaselineOnly() {
-		this.rollout.said(Phase.TRIAL, 0);
-		assertThat(this.rollout.versions(BOTH, true, 0, 0)).containsExactly(Versions.without("v2"));
+		this.rollout.phaseAnnounced(Phase.TRIAL, 0);
+		assertThat(this.rollout.versionRules(BOTH, true, 0, 0)).containsExactly(VersionRule.without("v2"));
 	}
 
 	@ParameterizedTest
 	@EnumSource(Phase.class)
 	void shouldAllowServersWhenAllRunOneVersion(Phase phase) {
-		this.rollout.said(phase, 0);
-		assertThat(this.rollout.versions(List.of(CANDIDATE), false, 1, 0).getFirst().allows(CANDIDATE)).isTrue();
-		assertThat(this.rollout.versions(List.of(BASELINE), false, 1, 0).getFirst().allows(BASELINE)).isTrue();
+		this.rollout.phaseAnnounced(phase, 0);
+		assertThat(this.rollout.versionRules(List.of(CANDIDATE), false, 1, 0).getFirst().allows(CANDIDATE)).isTrue();
+		assertThat(this.rollout.versionRules(List.of(BASELINE), false, 1, 0).getFirst().allows(BASELINE)).isTrue();
 	}
 
 	// The candidate servers that get calls in the trial phase run at the load that all
 	// candidate servers will have later.
 	@Test
 	void shouldUseFewCandidateServersInTrialPhase() {
-		this.rollout.said(Phase.TRIAL, 0);
+		this.rollout.phaseAnnounced(Phase.TRIAL, 0);
 		List<BackendServer> servers = IntStream.range(0, 50)
 			.mapToObj((i) -> server("n" + i, (i < 25) ? "v2" : "v1"))
 			.toList();
-		Versions trial = this.rollout.versions(servers, false, 0, 0).getFirst();
-		assertThat(servers.stream().filter(trial::allows)).hasSize(2).allMatch(this.rollout::isFresh);
+		VersionRule trial = this.rollout.versionRules(servers, false, 0, 0).getFirst();
+		assertThat(servers.stream().filter(trial::allows)).hasSize(2).allMatch(this.rollout::isCandidate);
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "TRIAL, true, false", "MOVING, false, true", "SUCCEEDED, false, true", "ROLLED_BACK, true, false" })
 	void shouldCountServersOfVersionInService(Phase phase, boolean baseline, boolean candidate) {
-		this.rollout.said(phase, 0);
-		assertThat(this.rollout.counts(BASELINE)).isEqualTo(baseline);
-		assertThat(this.rollout.counts(CANDIDATE)).isEqualTo(candidate);
+		this.rollout.phaseAnnounced(phase, 0);
+		assertThat(this.rollout.countsTowardsCapacity(BASELINE)).isEqualTo(baseline);
+		assertThat(this.rollout.countsTowardsCapacity(CANDIDATE)).isEqualTo(candidate);
 	}
 
 	// After a process pause, the former holder of the duty lease announces an earlier
 	// phase.
 	@Test
 	void shouldIgnoreEarlierPhase() {
-		this.rollout.said(Phase.ROLLED_BACK, 0);
-		assertThat(this.rollout.said(Phase.TRIAL, 0)).isFalse();
-		assertThat(this.rollout.said(Phase.SUCCEEDED, 0)).isFalse();
+		this.rollout.phaseAnnounced(Phase.ROLLED_BACK, 0);
+		assertThat(this.rollout.phaseAnnounced(Phase.TRIAL, 0)).isFalse();
+		assertThat(this.rollout.phaseAnnounced(Phase.SUCCEEDED, 0)).isFalse();
 		assertThat(this.rollout.phase()).isEqualTo(Phase.ROLLED_BACK);
 	}
 
@@ -109,8 +109,8 @@
 
 	@Test
 	void shouldStopUsingCandidateWhenOwnVerdictIsBad() {
-		this.rollout.said(Phase.TRIAL, 0);
-		this.rollout.counted("g1", Map.of("quotes", new Tally(new Counts(30, 15), new Counts(400, 20))), 0);
+		this.rollout.phaseAnnounced(Phase.TRIAL, 0);
+		this.rollout.recordReport("g1", Map.of("quotes", new Tally(new Counts(30, 15), new Counts(400, 20))), 0);
 		assertThat(this.rollout.verdict()).isEqualTo(Verdict.BAD);
 		assertThat(allows(CANDIDATE, 0, 0)).isFalse();
 	}
@@ -121,7 +121,7 @@
 	void shouldCountCallsOnceWhenReportIsRepeated() {
 		Map<String, Tally> totals = Map.of("quotes", new Tally(new Counts(3, 2), new Counts(100, 5)));
 		for (int i = 0; i < 50; i++) {
-			this.rollout.counted("g1", totals, i);
+			this.rollout.recordReport("g1", totals, i);
 		}
 		assertThat(this.rollout.verdict()).isEqualTo(Verdict.OPEN);
 	}
@@ -130,7 +130,7 @@
 	void shouldNotRejectCandidateWhenBothVersionsFail() {
 		for (int second = 0; second < 10; second++) {
 			long failing = (second > 3 && second < 7) ? 9 : 1;
-			this.rollout.counted("g" + second,
+			this.rollout.recordReport("g" + second,
 					Map.of("quotes", new Tally(new Counts(20, failing), new Counts(200, 10 * failing))),
 					TimeUnit.SECONDS.toNanos(second));
 		}
@@ -143,16 +143,16 @@
 	@CsvSource({ "v2, 6, false", "v3, 6, true", "v3, 4, false" })
 	void shouldReplaceOrderOnlyWhenNewerAndForOtherVersion(String to, long number, boolean added) {
 		RolloutTable table = RolloutTable.empty(0.1);
-		assertThat(table.ordered(ORDER)).isTrue();
-		assertThat(table.ordered(new RolloutOrder("llm", to, 1_000, number))).isEqualTo(added);
+		assertThat(table.addOrder(ORDER)).isTrue();
+		assertThat(table.addOrder(new RolloutOrder("llm", to, 1_000, number))).isEqualTo(added);
 	}
 
 	@Test
 	void shouldRestartRolloutWhenOrderedAgainAfterRollback() {
 		RolloutTable table = RolloutTable.empty(0.1);
-		table.ordered(ORDER);
-		table.find("llm").orElseThrow().said(Phase.ROLLED_BACK, 0);
-		assertThat(table.ordered(new RolloutOrder("llm", "v2", 1_000, 6))).isTrue();
+		table.addOrder(ORDER);
+		table.find("llm").orElseThrow().phaseAnnounced(Phase.ROLLED_BACK, 0);
+		assertThat(table.addOrder(new RolloutOrder("llm", "v2", 1_000, 6))).isTrue();
 		assertThat(table.find("llm").orElseThrow().phase()).isEqualTo(Phase.TRIAL);
 	}
 
@@ -170,7 +170,7 @@
 	void shouldPlanNextPhase(Phase phase, Verdict verdict, long sinceMillis, int candidate, int baseline,
 			int baselineCalls, Phase next) {
 		assertThat(
-				RolloutPlan.next(ORDER, phase, verdict, sinceMillis, new Servers(candidate, baseline, baselineCalls)))
+				RolloutPlan.next(ORDER, phase, verdict, sinceMillis, new ServerCounts(candidate, baseline, baselineCalls)))
 			.isEqualTo(Optional.ofNullable(next));
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/routes/TrafficConfigurationTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/routes/TrafficConfigurationTests.java
@@ -16,7 +16,7 @@
 	private static final ServiceSpec BOOKING = new ServiceSpec("booking", 10, Optional.empty(), Optional.empty());
 
 	private static final Organisation SFAX = new Organisation("sfax", List.of("key-1", "key-2"), OptionalInt.empty(), 0,
-			0, Organisation.Counts.REQUESTS, 1);
+			0, Organisation.QuotaUnit.REQUESTS, 1);
 
 	private final TrafficConfiguration configuration = TrafficConfiguration.of(7,
 			List.of(route("all", "a.example", "/"), route("visits", "a.example", "/visits/"),
@@ -57,7 +57,7 @@
 	void shouldSelectServiceByWeight(double draw, String service) {
 		Route route = new Route("r", "h", "/", CallKind.STREAMING, 1_000, 500, 0,
 				List.of(new Route.Target("a", 90), new Route.Target("b", 10)), 1, false, false);
-		assertThat(route.service(draw)).isEqualTo(service);
+		assertThat(route.selectService(draw)).isEqualTo(service);
 	}
 
 	@ParameterizedTest
@@ -66,7 +66,7 @@
 	void shouldBeRetryableWhenCallMayRunTwice(CallKind kind, boolean resumable, boolean repeatable) {
 		Route route = new Route("r", "h", "/", kind, 1_000, 500, 0, List.of(new Route.Target("a", 1)), 2, false,
 				resumable);
-		assertThat(route.repeatable()).isEqualTo(repeatable);
+		assertThat(route.retryable()).isEqualTo(repeatable);
 	}
 
 	private static Route route(String name, String host, String prefix) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/FreshnessLimitsTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/FreshnessLimitsTests.java
@@ -20,7 +20,7 @@
 	@ParameterizedTest
 	@CsvSource({ "FIRST, STAND_BY", "STAND_BY, RESTING" })
 	void shouldHaveShorterLimitWhenRoleReadsForOthers(Role earlier, Role later) {
-		FreshnessLimits limits = FreshnessLimits.usual();
+		FreshnessLimits limits = FreshnessLimits.defaults();
 		assertThat(limits.forRole(earlier, 1)).isLessThan(limits.forRole(later, 0));
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/FreshnessTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/FreshnessTests.java
@@ -8,7 +8,7 @@
 
 class FreshnessTests {
 
-	private final Freshness freshness = Freshness.unproven(1_000);
+	private final Freshness freshness = Freshness.unconfirmed(1_000);
 
 	@Test
 	void shouldHaveNoAgeWhenNothingWasConfirmed() {
@@ -40,16 +40,16 @@
 		this.freshness.confirm(100, Source.STORE);
 		this.freshness.confirm(1_099, Source.REPORT);
 		this.freshness.confirm(2_000, Source.STORE);
-		assertThat(this.freshness.returnedNanos()).isEmpty();
+		assertThat(this.freshness.outageEndNanos()).isEmpty();
 	}
 
 	@Test
 	void shouldDetectEndOfOutageWhenConfirmationsWereFarApart() {
 		this.freshness.confirm(100, Source.STORE);
 		this.freshness.confirm(1_100, Source.STORE);
-		assertThat(this.freshness.returnedNanos()).hasValue(1_100);
+		assertThat(this.freshness.outageEndNanos()).hasValue(1_100);
 		this.freshness.confirm(1_200, Source.STORE);
-		assertThat(this.freshness.returnedNanos()).hasValue(1_100);
+		assertThat(this.freshness.outageEndNanos()).hasValue(1_100);
 	}
 
 	@Test
@@ -58,7 +58,7 @@
 		this.freshness.discardConfirmation(5_000);
 		assertThat(this.freshness.ageNanos(5_000)).isEmpty();
 		this.freshness.confirm(5_000, Source.STORE);
-		assertThat(this.freshness.returnedNanos()).isEmpty();
+		assertThat(this.freshness.outageEndNanos()).isEmpty();
 	}
 
 	// Guards against confirmations from before the suspension of a VM: queries and
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleet.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleet.java
@@ -11,7 +11,7 @@
 
 import org.rosemaryfront.fleet.Fleet;
 import org.rosemaryfront.fleet.Fleet.Report;
-import org.rosemaryfront.tables.Question.Asked;
+import org.rosemaryfront.tables.TableQuery.Sent;
 
 /**
  * Gateways that follow one table of a store in virtual time. They decide with the real
@@ -117,7 +117,7 @@
 
 		final int index;
 
-		final Freshness freshness = Freshness.unproven(OUTAGE_NANOS);
+		final Freshness freshness = Freshness.unconfirmed(OUTAGE_NANOS);
 
 		private final Fleet fleet;
 
@@ -172,7 +172,7 @@
 
 		private void addGateway(Gateway other) {
 			if (other != this) {
-				this.fleet.found(other.name(), 0);
+				this.fleet.addGateway(other.name(), 0);
 			}
 		}
 
@@ -187,12 +187,12 @@
 			}
 			this.receivedReports.forEach(this::processReport);
 			this.receivedReports.clear();
-			this.fleet.fallenSilent(SimulatedFleet.this.now);
+			this.fleet.timedOut(SimulatedFleet.this.now);
 			this.role = this.fleet.role(name(), SimulatedFleet.this.now);
 			this.follower.tick(this.role, SimulatedFleet.this.now).forEach(this::send);
 			boolean reports = this.reportsUntilNanos > SimulatedFleet.this.now
 					|| this.follower.isReading(SimulatedFleet.this.now);
-			long interval = (this.urgent && reports) ? URGENT_REPORT_INTERVAL_NANOS : this.fleet.reportNanos();
+			long interval = (this.urgent && reports) ? URGENT_REPORT_INTERVAL_NANOS : this.fleet.reportIntervalNanos();
 			if (SimulatedFleet.this.now - this.lastReportNanos >= interval) {
 				sendReports();
 			}
@@ -201,21 +201,21 @@
 
 		// -- queries
 
-		private void send(Asked sent) {
-			if (sent.question() instanceof Question.OfGateway ofGateway) {
-				queryGateway(ofGateway.known());
+		private void send(Sent sent) {
+			if (sent.query() instanceof TableQuery.FromGateway ofGateway) {
+				queryGateway(ofGateway.version());
 				return;
 			}
 			long transitNanos = transitNanos(3);
 			at(transitNanos, () -> SimulatedFleet.this.store.query(this.index, sent, SimulatedFleet.this.now,
 					(response) -> at(transitNanos(3), () -> processResponse(sent, response))));
-			boolean feed = sent.question() instanceof Question.Feed;
+			boolean feed = sent.query() instanceof TableQuery.Feed;
 			at(RESPONSE_TIMEOUT_NANOS + (feed ? TimeUnit.SECONDS.toNanos(20) : 0),
 					() -> SimulatedFleet.this.store.unanswered(sent)
 						.ifPresent((response) -> processResponse(sent, response)));
 		}
 
-		private void processResponse(Asked sent, SimulatedStore.Response response) {
+		private void processResponse(Sent sent, SimulatedStore.Response response) {
 			if (this.killed) {
 				return;
 			}
@@ -226,14 +226,14 @@
 			switch (response) {
 				case SimulatedStore.Response.Rows rows -> {
 					boolean unreported = this.follower
-						.answered(sent, rows.version(), !rows.changes().isEmpty(), SimulatedFleet.this.now)
-						.firstHand();
+						.responseReceived(sent, rows.version(), !rows.changes().isEmpty(), SimulatedFleet.this.now)
+						.unreported();
 					this.reportsUntilNanos = unreported ? SimulatedFleet.this.now + UNREPORTED_CHANGES_PERIOD_NANOS
 							: this.reportsUntilNanos;
 					applyChanges(rows.changes(), rows.version());
 				}
 				case SimulatedStore.Response.Failed failed ->
-					this.follower.failed(sent, failed.historyLost(), SimulatedFleet.this.now).ifPresent(this::send);
+					this.follower.queryFailed(sent, failed.historyLost(), SimulatedFleet.this.now).ifPresent(this::send);
 			}
 		}
 
@@ -253,7 +253,7 @@
 		private void applyTable(List<Integer> changes, long upTo) {
 			if (!this.killed && upTo >= this.version) {
 				applyChanges(changes, upTo);
-				this.follower.told(upTo, true, Optional.empty(), SimulatedFleet.this.now);
+				this.follower.reportReceived(upTo, true, Optional.empty(), SimulatedFleet.this.now);
 			}
 		}
 
@@ -303,7 +303,7 @@
 		}
 
 		private void processReport(ReceivedReport received) {
-			if (this.fleet.heard(received.report, SimulatedFleet.this.now) == Fleet.Hearing.LATE) {
+			if (this.fleet.reportReceived(received.report, SimulatedFleet.this.now) == Fleet.ReportStatus.LATE) {
 				return;
 			}
 			received.update.ifPresent((update) -> {
@@ -314,7 +314,7 @@
 				boolean complete = follows || update.version <= this.version;
 				Optional<Long> confirmedNanos = (update.ageNanos < 0) ? Optional.empty()
 						: Optional.of(SimulatedFleet.this.now - update.ageNanos);
-				this.follower.told(update.version, complete, confirmedNanos, SimulatedFleet.this.now);
+				this.follower.reportReceived(update.version, complete, confirmedNanos, SimulatedFleet.this.now);
 				this.reporter = complete ? this.reporter : received.from;
 			});
 		}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedStore.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedStore.java
@@ -10,17 +10,17 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 
-import org.rosemaryfront.tables.Question.Asked;
+import org.rosemaryfront.tables.TableQuery.Sent;
 
 /** A store with one table, in which each change is a row. Faults can be injected. */
 final class SimulatedStore {
 
 	private final List<Long> changedAt = new ArrayList<>();
 
-	private final Map<Asked, PendingQuery> feeds = new HashMap<>();
+	private final Map<Sent, PendingQuery> feeds = new HashMap<>();
 
 	/** The queries that received no response. */
-	private final Set<Asked> unanswered = new HashSet<>();
+	private final Set<Sent> unanswered = new HashSet<>();
 
 	private final Set<Integer> unresponsiveTo = new HashSet<>();
 
@@ -100,7 +100,7 @@
 
 	// -- called by the gateways
 
-	void query(int gateway, Asked sent, long nowNanos, Consumer<Response> receiver) {
+	void query(int gateway, Sent sent, long nowNanos, Consumer<Response> receiver) {
 		this.queries++;
 		if (this.unresponsiveTo.contains(gateway)) {
 			this.unanswered.add(sent);
@@ -114,10 +114,10 @@
 	}
 
 	private void respond(PendingQuery pending) {
-		switch (pending.sent.question()) {
-			case Question.Whole _ -> pending.receiver.accept(rows(0));
-			case Question.Check check -> changesSince(check.since(), pending);
-			case Question.Feed feed -> {
+		switch (pending.sent.query()) {
+			case TableQuery.FullTable _ -> pending.receiver.accept(rows(0));
+			case TableQuery.Check check -> changesSince(check.since(), pending);
+			case TableQuery.Feed feed -> {
 				if (version(this.changedAt.size() - 1) > feed.since() && !this.feedsMissChanges) {
 					changesSince(feed.since(), pending);
 				}
@@ -125,7 +125,7 @@
 					this.feeds.put(pending.sent, pending);
 				}
 			}
-			case Question.OfGateway _ ->
+			case TableQuery.FromGateway _ ->
 				throw new IllegalArgumentException("the store was asked to answer a query to a gateway");
 		}
 	}
@@ -153,7 +153,7 @@
 	 * @param sent the query
 	 * @return what the sender of the query receives, empty if it had a response
 	 */
-	Optional<Response> unanswered(Asked sent) {
+	Optional<Response> unanswered(Sent sent) {
 		boolean waiting = this.feeds.remove(sent) != null;
 		if (waiting) {
 			return Optional.of(rows(Long.MAX_VALUE));
@@ -193,7 +193,7 @@
 
 	}
 
-	private record PendingQuery(int gateway, Asked sent, Consumer<Response> receiver) {
+	private record PendingQuery(int gateway, Sent sent, Consumer<Response> receiver) {
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/AdminServer.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/AdminServer.java
@@ -42,7 +42,7 @@
 	}
 
 	static AdminServer open(LoopResources loops, GatewaySettings settings, BooleanSupplier ready,
-			MetricRegistry registry, Map<String, FollowedTable> tables, HeldRequests quarantine) {
+			MetricRegistry registry, Map<String, TableReplica> tables, RequestQuarantine quarantine) {
 		DisposableServer readiness = HttpServer.create()
 			.runOn(loops, false)
 			.bindAddress(settings::readiness)
@@ -80,13 +80,13 @@
 		return TABLES_PATH + '/' + table + '/' + known;
 	}
 
-	private static Optional<TableRows> table(Map<String, FollowedTable> tables, String name, String known) {
+	private static Optional<TableRows> table(Map<String, TableReplica> tables, String name, String known) {
 		boolean number = known.matches("[0-9]{1,18}");
 		return number ? Optional.ofNullable(tables.get(name)).flatMap((table) -> table.newerThan(Long.parseLong(known)))
 				: Optional.empty();
 	}
 
-	private static Mono<Integer> release(HeldRequests quarantine, String digest) {
+	private static Mono<Integer> release(RequestQuarantine quarantine, String digest) {
 		try {
 			return quarantine.release(RequestDigest.parse(digest)).map((known) -> known ? 204 : 404);
 		}
@@ -110,13 +110,13 @@
 	}
 
 	/** Lists and releases, for operators, the requests under which servers crashed. */
-	interface HeldRequests {
+	interface RequestQuarantine {
 
 		/**
 		 * Returns the requests under which servers crashed.
 		 * @return the requests, to be written as JSON
 		 */
-		Mono<List<HeldRequest>> list();
+		Mono<List<SuspectRequest>> list();
 
 		/**
 		 * Releases a request from quarantine at all gateways.
@@ -134,7 +134,7 @@
 	 * @param held whether the request is quarantined
 	 * @param crashes the crashes of servers that had the request
 	 */
-	record HeldRequest(String digest, boolean held, List<CrashEntry> crashes) {
+	record SuspectRequest(String digest, boolean held, List<CrashEntry> crashes) {
 	}
 
 	/**
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallProgress.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallProgress.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-import org.rosemaryfront.dispatch.BackendServer.Start;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
 import org.rosemaryfront.dispatch.Dispatcher.Choice;
 import org.rosemaryfront.dispatch.FirstTokenModel.Work;
-import org.rosemaryfront.dispatch.SharedParts;
-import org.rosemaryfront.ports.CallTerms.Prompt;
-import org.rosemaryfront.quota.QuotaTable.Taking;
+import org.rosemaryfront.dispatch.PromptPrefix;
+import org.rosemaryfront.ports.CallMetadata.Prompt;
+import org.rosemaryfront.quota.QuotaTable.QuotaDecision;
 import org.rosemaryfront.traffic.Call;
 
 /**
@@ -22,11 +22,11 @@
  */
 final class CallProgress {
 
-	private final SharedParts prefix;
+	private final PromptPrefix prefix;
 
 	private final Set<String> tried = new HashSet<>();
 
-	private Optional<Start> server = Optional.empty();
+	private Optional<Incarnation> server = Optional.empty();
 
 	private long uncachedTokens;
 
@@ -58,7 +58,7 @@
 
 	private int unsentAttempts;
 
-	private CallProgress(SharedParts prefix) {
+	private CallProgress(PromptPrefix prefix) {
 		this.prefix = prefix;
 	}
 
@@ -70,16 +70,16 @@
 	 * @return the progress, with nothing decided
 	 */
 	static CallProgress of(Call call) {
-		return of(call.terms().prompt().map(Prompt::shared).orElse(SharedParts.none()));
+		return of(call.metadata().prompt().map(Prompt::sharedPrefix).orElse(PromptPrefix.none()));
 	}
 
-	static CallProgress of(SharedParts prefix) {
+	static CallProgress of(PromptPrefix prefix) {
 		return new CallProgress(prefix);
 	}
 
 	// -- changes
 
-	void admitted(double taken, Taking taking, long nowNanos) {
+	void admitted(double taken, QuotaDecision taking, long nowNanos) {
 		this.units = taken;
 		this.chargedNanos = nowNanos;
 		this.sharingGateways = sharingGateways(taking);
@@ -88,12 +88,12 @@
 
 	void sent(Choice.Chosen chosen, long nowNanos) {
 		this.tried.add(chosen.server().id());
-		this.server = Optional.of(chosen.server().start());
-		this.uncachedTokens = chosen.unreadTokens();
+		this.server = Optional.of(chosen.server().incarnation());
+		this.uncachedTokens = chosen.uncachedTokens();
 		this.expectedMillis = chosen.expectedMillis();
 		this.firstTokenPending = chosen.work().isPresent();
 		// A transfer of KV cache entries takes time that the work does not include.
-		this.work = chosen.fetchFrom().isPresent() ? Optional.empty() : chosen.work();
+		this.work = chosen.transferSource().isPresent() ? Optional.empty() : chosen.work();
 		this.sentNanos = nowNanos;
 	}
 
@@ -103,7 +103,7 @@
 	 * @return the number of gateways in the group, a slash, and the number of all
 	 * gateways that may serve callers
 	 */
-	static String sharingGateways(Taking taking) {
+	static String sharingGateways(QuotaDecision taking) {
 		return taking.sharing().group() + "/" + taking.sharing().members();
 	}
 
@@ -168,7 +168,7 @@
 
 	// -- queries
 
-	SharedParts prefix() {
+	PromptPrefix prefix() {
 		return this.prefix;
 	}
 
@@ -176,7 +176,7 @@
 		return this.tried;
 	}
 
-	Optional<Start> server() {
+	Optional<Incarnation> server() {
 		return this.server;
 	}
 
@@ -216,7 +216,7 @@
 	 * @param millis the measured time, in milliseconds
 	 * @param work the work of the server, empty if other work took time as well
 	 */
-	record FirstToken(Start server, long expectedMillis, long millis, Optional<Work> work) {
+	record FirstToken(Incarnation server, long expectedMillis, long millis, Optional<Work> work) {
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallQuotas.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CallQuotas.java
@@ -9,7 +9,7 @@
 import org.rosemaryfront.fleet.Fleet;
 import org.rosemaryfront.fleet.Fleet.Sharing;
 import org.rosemaryfront.quota.QuotaTable;
-import org.rosemaryfront.quota.QuotaTable.Taking;
+import org.rosemaryfront.quota.QuotaTable.QuotaDecision;
 import org.rosemaryfront.routes.Organisation;
 import org.rosemaryfront.routes.TrafficConfiguration;
 import org.rosemaryfront.traffic.Call;
@@ -62,7 +62,7 @@
 		}
 		this.quotas.sharing(sharing);
 		double units = units(call, organisation);
-		Taking taking = this.quotas.take(organisation, units, now);
+		QuotaDecision taking = this.quotas.take(organisation, units, now);
 		if (taking.waitMillis() > 0) {
 			refuse(call, units, taking);
 			return false;
@@ -71,7 +71,7 @@
 		return true;
 	}
 
-	private static void refuse(Call call, double units, Taking taking) {
+	private static void refuse(Call call, double units, QuotaDecision taking) {
 		long wait = taking.waitMillis();
 		String detail = String.format(Locale.ROOT,
 				"%.0f of %.0f units used, %.0f requested, %.0f unconfirmed, gateways %s", taking.used(), taking.limit(),
@@ -93,12 +93,12 @@
 	}
 
 	private static double units(Call call, Organisation organisation) {
-		return switch (organisation.counts()) {
+		return switch (organisation.quotaUnit()) {
 			case REQUESTS -> 1;
-			case TOKENS -> call.terms()
+			case TOKENS -> call.metadata()
 				.prompt()
-				.map((prompt) -> prompt.promptTokens() + prompt.answerTokens())
-				.orElse(organisation.plainTokens());
+				.map((prompt) -> prompt.promptTokens() + prompt.maxResponseTokens())
+				.orElse(organisation.defaultTokens());
 		};
 	}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashGuard.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashGuard.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.LongConsumer;
 
-import org.rosemaryfront.crashes.Judgement;
+import org.rosemaryfront.crashes.QuarantineDecision;
 import org.rosemaryfront.crashes.RequestDigest;
 import org.rosemaryfront.dispatch.BackendServer;
 import org.rosemaryfront.dispatch.BackendTable;
@@ -57,20 +57,20 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void admit(Call call, LongConsumer proceed, long nowNanos) {
-		if (!this.crashes.isKnown()) {
+		if (!this.crashes.isLoaded()) {
 			call.refuse(503, GatewayControl.fullRetryMillis(),
 					Refusal.of(Cause.CRASHES_UNKNOWN, "quarantined requests not read from the store yet"));
 			return;
 		}
 		switch (judge(call)) {
-			case Judgement.Free _ -> proceed.accept(nowNanos);
-			case Judgement.OnTrial trial -> this.crashes.probes()
+			case QuarantineDecision.Allowed _ -> proceed.accept(nowNanos);
+			case QuarantineDecision.Probe trial -> this.crashes.probes()
 				.claim(call.digest().orElseThrow(), (granted) -> claimed(call, granted, proceed, trial));
-			case Judgement.Held held -> call.refuse(503, QUARANTINE_RETRY_MILLIS, refusal(held));
+			case QuarantineDecision.Quarantined held -> call.refuse(503, QUARANTINE_RETRY_MILLIS, refusal(held));
 		}
 	}
 
-	private void claimed(Call call, boolean granted, LongConsumer proceed, Judgement decision) {
+	private void claimed(Call call, boolean granted, LongConsumer proceed, QuarantineDecision decision) {
 		if (granted) {
 			this.probes.add(call);
 			proceed.accept(System.nanoTime());
@@ -87,10 +87,10 @@
 	 * @return the refusal, empty if the call may be sent
 	 */
 	Optional<Refusal> quarantineRefusal(Call call) {
-		Judgement decision = judge(call);
+		QuarantineDecision decision = judge(call);
 		return switch (decision) {
-			case Judgement.Free _ -> Optional.empty();
-			case Judgement.OnTrial _, Judgement.Held _ -> Optional.of(refusal(decision));
+			case QuarantineDecision.Allowed _ -> Optional.empty();
+			case QuarantineDecision.Probe _, QuarantineDecision.Quarantined _ -> Optional.of(refusal(decision));
 		};
 	}
 
@@ -124,7 +124,7 @@
 	 * @param ran whether a server may have run it
 	 */
 	void withdraw(Call call, boolean ran) {
-		call.withdraw(ran, QUARANTINE_RETRY_MILLIS, refusal(judge(call)));
+		call.endQuarantined(ran, QUARANTINE_RETRY_MILLIS, refusal(judge(call)));
 	}
 
 	// -- outcomes of calls
@@ -138,7 +138,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void answered(Call call, BackendServer server, long sentNanos, long nowNanos) {
-		this.crashes.serverResponded(server.start(), sentNanos, nowNanos);
+		this.crashes.serverResponded(server.incarnation(), sentNanos, nowNanos);
 		call.digest().ifPresent((request) -> this.crashes.requestCompleted(request, nowNanos));
 	}
 
@@ -152,8 +152,8 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void failed(Call call, BackendServer server, Failure failure, long nowNanos) {
-		boolean broke = failure.sent() && !failure.answered() && !(failure.verdict() instanceof Verdict.NotRun);
-		if (broke && this.servers.isExpected(server.start())) {
+		boolean broke = failure.sent() && !failure.responded() && !(failure.verdict() instanceof Verdict.NotRun);
+		if (broke && this.servers.isExpected(server.incarnation())) {
 			call.digest().ifPresent((request) -> this.crashes.connectionBroke(request, server, nowNanos));
 		}
 	}
@@ -164,18 +164,18 @@
 	 * @param call the call
 	 */
 	void ended(Call call) {
-		if (this.probes.remove(call) && call.sends() == 0) {
+		if (this.probes.remove(call) && call.sendCount() == 0) {
 			this.crashes.probes().giveBack(call.digest().orElseThrow());
 		}
 	}
 
-	private Judgement judge(Call call) {
-		return call.digest().map(this.crashes::judge).orElse(Judgement.none());
+	private QuarantineDecision judge(Call call) {
+		return call.digest().map(this.crashes::judge).orElse(QuarantineDecision.none());
 	}
 
-	private static Refusal refusal(Judgement decision) {
+	private static Refusal refusal(QuarantineDecision decision) {
 		return Refusal.of(Cause.CRASHES_SERVERS, "servers that crashed under the request: "
-				+ decision.servers().stream().map(BackendServer.Start::id).toList());
+				+ decision.servers().stream().map(BackendServer.Incarnation::id).toList());
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRecords.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRecords.java
@@ -12,14 +12,14 @@
 import org.rosemaryfront.crashes.CrashTable;
 import org.rosemaryfront.crashes.Evidence;
 import org.rosemaryfront.crashes.Evidence.State;
-import org.rosemaryfront.crashes.Judgement;
+import org.rosemaryfront.crashes.QuarantineDecision;
 import org.rosemaryfront.crashes.RequestDigest;
 import org.rosemaryfront.dispatch.BackendServer;
-import org.rosemaryfront.dispatch.BackendServer.Start;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
 import org.rosemaryfront.dispatch.BackendTable;
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.gateway.AdminServer.CrashEntry;
-import org.rosemaryfront.gateway.AdminServer.HeldRequest;
+import org.rosemaryfront.gateway.AdminServer.SuspectRequest;
 import org.rosemaryfront.gateway.proto.CrashNews;
 import org.rosemaryfront.ports.RowStore;
 import org.rosemaryfront.program.ControlLoop;
@@ -37,7 +37,7 @@
 
 	private final ControlLoop control;
 
-	private final Hooks callbacks;
+	private final Callbacks callbacks;
 
 	private final QuarantineProbes probes;
 
@@ -46,7 +46,7 @@
 	/**
 	 * Servers with a connection attempt in progress that checks whether they are alive.
 	 */
-	private final Set<Start> livenessChecks = new HashSet<>();
+	private final Set<Incarnation> livenessChecks = new HashSet<>();
 
 	/** Requests logged as quarantined. */
 	private final Set<RequestDigest> loggedQuarantined = new HashSet<>();
@@ -54,13 +54,13 @@
 	/** Whether there are updates to send before the next report is due. */
 	private boolean urgent;
 
-	CrashRecords(RowStore rows, BackendTable servers, ControlLoop control, String process, Hooks callbacks) {
+	CrashRecords(RowStore rows, BackendTable servers, ControlLoop control, String process, Callbacks callbacks) {
 		this.servers = servers;
 		this.control = control;
 		this.callbacks = callbacks;
 		this.probes = new QuarantineProbes(rows, this.table, control, process, this::review);
 		this.store = new CrashStore(rows, this.table, this.probes, control, process,
-				new CrashStore.News((evidence, nowNanos) -> evidenceAdded(evidence, "store", nowNanos), this::review));
+				new CrashStore.Updates((evidence, nowNanos) -> evidenceAdded(evidence, "store", nowNanos), this::review));
 	}
 
 	// -- queries
@@ -71,7 +71,7 @@
 	 * store. Safe to call on any thread.
 	 * @return true once the table was read
 	 */
-	boolean isKnown() {
+	boolean isLoaded() {
 		return this.store.isLoaded();
 	}
 
@@ -82,34 +82,34 @@
 	 * @return true if it is quarantined
 	 */
 	boolean isQuarantined(RequestDigest request) {
-		return this.table.isHeld(request);
+		return this.table.isQuarantined(request);
 	}
 
-	Judgement judge(RequestDigest request) {
-		return this.table.judge(request);
+	QuarantineDecision judge(RequestDigest request) {
+		return this.table.decide(request);
 	}
 
 	/**
 	 * Returns the requests under which servers crashed, for operators.
 	 * @return the requests, oldest first
 	 */
-	List<HeldRequest> list() {
-		return this.table.all()
+	List<SuspectRequest> list() {
+		return this.table.allEvidence()
 			.entrySet()
 			.stream()
-			.map((entry) -> new HeldRequest(entry.getKey().toString(), isQuarantined(entry.getKey()),
+			.map((entry) -> new SuspectRequest(entry.getKey().toString(), isQuarantined(entry.getKey()),
 					entry.getValue().stream().map(CrashRecords::crashEntry).toList()))
 			.toList();
 	}
 
 	private static CrashEntry crashEntry(Evidence evidence) {
-		Start server = evidence.crash().server();
+		Incarnation server = evidence.crash().server();
 		return new CrashEntry(server.id(), server.startedMillis(), evidence.atMillis(),
 				evidence.state().name().toLowerCase(Locale.ROOT));
 	}
 
-	int heldCount() {
-		return this.table.heldCount();
+	int quarantinedCount() {
+		return this.table.quarantinedCount();
 	}
 
 	QuarantineProbes probes() {
@@ -125,23 +125,23 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void connectionBroke(RequestDigest request, BackendServer server, long nowNanos) {
-		Crash crash = new Crash(request, server.start());
-		if (this.table.suspected(crash, System.currentTimeMillis(), nowNanos)) {
+		Crash crash = new Crash(request, server.incarnation());
+		if (this.table.connectionLost(crash, System.currentTimeMillis(), nowNanos)) {
 			review(request);
-			if (this.livenessChecks.add(server.start())) {
-				this.callbacks.ask(server,
+			if (this.livenessChecks.add(server.incarnation())) {
+				this.callbacks.checkAlive(server,
 						(alive) -> this.control.post((checkedNanos) -> livenessChecked(server, alive, checkedNanos)));
 			}
 		}
 	}
 
 	private void livenessChecked(BackendServer server, boolean alive, long nowNanos) {
-		this.livenessChecks.remove(server.start());
+		this.livenessChecks.remove(server.incarnation());
 		if (alive) {
-			serverAlive(server.start(), nowNanos, "server accepts connections", nowNanos);
+			serverAlive(server.incarnation(), nowNanos, "server accepts connections", nowNanos);
 		}
 		else {
-			serverCrashed(server.start(), "connection attempt failed", nowNanos);
+			serverCrashed(server.incarnation(), "connection attempt failed", nowNanos);
 		}
 	}
 
@@ -151,9 +151,9 @@
 	 * @param observation the observation that shows the crash, for the log
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void serverCrashed(Start server, String observation, long nowNanos) {
-		this.servers.crashed(server, nowNanos);
-		for (Evidence evidence : this.table.crashed(server, nowNanos)) {
+	void serverCrashed(Incarnation server, String observation, long nowNanos) {
+		this.servers.recordCrash(server, nowNanos);
+		for (Evidence evidence : this.table.serverCrashed(server, nowNanos)) {
 			this.urgent = true;
 			logCrash(evidence, observation);
 			review(evidence.crash().request());
@@ -166,14 +166,14 @@
 	 * @param sentNanos when the call was sent, on the monotonic clock, in nanoseconds
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void serverResponded(Start server, long sentNanos, long nowNanos) {
+	void serverResponded(Incarnation server, long sentNanos, long nowNanos) {
 		serverAlive(server, sentNanos, "server responded to a call", nowNanos);
 	}
 
-	private void serverAlive(Start server, long sentNanos, String observation, long nowNanos) {
-		List<Evidence> cleared = this.table.answers(server, sentNanos, nowNanos);
+	private void serverAlive(Incarnation server, long sentNanos, String observation, long nowNanos) {
+		List<Evidence> cleared = this.table.serverResponded(server, sentNanos, nowNanos);
 		if (!cleared.isEmpty()) {
-			this.servers.lives(server);
+			this.servers.recordAlive(server);
 			logCleared(cleared, observation);
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 
 	private boolean clear(RequestDigest request, String cause, long nowNanos) {
-		List<Evidence> cleared = this.table.cleared(request, nowNanos);
+		List<Evidence> cleared = this.table.clear(request, nowNanos);
 		logCleared(cleared, cause);
 		// The probe is given back even if nothing was cleared: a gateway that sees the
 		// end of a probe before its success runs a second probe, and when that one
@@ -216,14 +216,14 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the updates
 	 */
-	List<CrashNews> news(long nowNanos) {
+	List<CrashNews> updates(long nowNanos) {
 		this.urgent = false;
-		return this.table.news(nowNanos).stream().map(CrashRecords::message).toList();
+		return this.table.updates(nowNanos).stream().map(CrashRecords::message).toList();
 	}
 
 	/**
 	 * Returns whether there are updates to send before the next report is due.
-	 * @return true until {@link #news} is called
+	 * @return true until {@link #updates} is called
 	 */
 	boolean isUrgent() {
 		return this.urgent;
@@ -235,11 +235,11 @@
 	 * @param updates the updates
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void heard(String gateway, List<CrashNews> updates, long nowNanos) {
+	void receive(String gateway, List<CrashNews> updates, long nowNanos) {
 		for (CrashNews update : updates) {
 			if (update.getRequest().size() == RequestDigest.BYTES) {
 				Evidence evidence = evidence(update);
-				if (this.table.heard(evidence, nowNanos)) {
+				if (this.table.receive(evidence, nowNanos)) {
 					evidenceAdded(evidence, gateway, nowNanos);
 				}
 			}
@@ -247,7 +247,7 @@
 	}
 
 	private static CrashNews message(Evidence evidence) {
-		Start server = evidence.crash().server();
+		Incarnation server = evidence.crash().server();
 		return CrashNews.newBuilder()
 			.setRequest(ByteString.copyFrom(evidence.crash().request().bytes()))
 			.setServer(server.id())
@@ -259,7 +259,7 @@
 
 	private static Evidence evidence(CrashNews updates) {
 		Crash crash = new Crash(RequestDigest.of(updates.getRequest().toByteArray()),
-				new Start(updates.getServer(), updates.getStartedMillis()));
+				new Incarnation(updates.getServer(), updates.getStartedMillis()));
 		return new Evidence(crash, updates.getCleared() ? State.CLEARED : State.CONFIRMED, updates.getAtMillis());
 	}
 
@@ -282,7 +282,7 @@
 	 * duties.
 	 * @param epochMillis the time of day, in milliseconds since 1970
 	 */
-	void tidy(long epochMillis) {
+	void cleanUp(long epochMillis) {
 		this.store.cleanUp(epochMillis);
 	}
 
@@ -293,7 +293,7 @@
 	private void evidenceAdded(Evidence evidence, String from, long nowNanos) {
 		RequestDigest request = evidence.crash().request();
 		if (evidence.state() == State.CONFIRMED) {
-			this.servers.crashed(evidence.crash().server(), nowNanos);
+			this.servers.recordCrash(evidence.crash().server(), nowNanos);
 		}
 		if (evidence.state() == State.CONFIRMED && judge(request).servers().size() > 1) {
 			logCrash(evidence, from);
@@ -303,7 +303,7 @@
 
 	private void logCrash(Evidence evidence, String from) {
 		RequestDigest request = evidence.crash().request();
-		Start server = evidence.crash().server();
+		Incarnation server = evidence.crash().server();
 		this.callbacks.count("crashes.confirmed");
 		EventLog.info(GatewayEvents.CRASHED_UNDER_REQUEST, "digest", request, "server", server.id(), "started",
 				server.startedMillis(), "crashes", judge(request).servers().size(), "from", from, "ageMillis",
@@ -326,12 +326,12 @@
 
 	// Logs and reports when a request becomes quarantined or is released.
 	private void review(RequestDigest request) {
-		Judgement decision = judge(request);
-		boolean held = decision instanceof Judgement.Held;
+		QuarantineDecision decision = judge(request);
+		boolean held = decision instanceof QuarantineDecision.Quarantined;
 		if (held && this.loggedQuarantined.add(request)) {
 			EventLog.warn(GatewayEvents.REQUEST_HELD_BACK, "digest", request, "servers",
-					decision.servers().stream().map(Start::id).toList());
-			this.callbacks.held(request);
+					decision.servers().stream().map(Incarnation::id).toList());
+			this.callbacks.quarantined(request);
 		}
 		else if (!held && this.loggedQuarantined.remove(request)) {
 			EventLog.info(GatewayEvents.REQUEST_RELEASED, "digest", request, "crashes", decision.servers().size());
@@ -339,7 +339,7 @@
 	}
 
 	/** Callbacks into the rest of the process. */
-	interface Hooks {
+	interface Callbacks {
 
 		/**
 		 * Checks whether a server is alive by opening a new connection to it.
@@ -347,13 +347,13 @@
 		 * @param reply receives whether the server accepted the connection; called on any
 		 * thread
 		 */
-		void ask(BackendServer server, Consumer<Boolean> reply);
+		void checkAlive(BackendServer server, Consumer<Boolean> reply);
 
 		/**
 		 * Reports that a request was quarantined.
 		 * @param request the digest of the request
 		 */
-		void held(RequestDigest request);
+		void quarantined(RequestDigest request);
 
 		/**
 		 * Increments a counter.
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRows.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRows.java
@@ -9,7 +9,7 @@
 import org.rosemaryfront.crashes.Evidence;
 import org.rosemaryfront.crashes.Evidence.State;
 import org.rosemaryfront.crashes.RequestDigest;
-import org.rosemaryfront.dispatch.BackendServer.Start;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
 
 /**
  * Keys and values of the rows about requests under which backend servers crash: one row
@@ -57,7 +57,7 @@
 	}
 
 	static byte[] write(Evidence evidence, String gateway) {
-		Start server = evidence.crash().server();
+		Incarnation server = evidence.crash().server();
 		return RowJson.write(new CrashRow(server.id(), server.startedMillis(), evidence.atMillis(),
 				evidence.state() == State.CLEARED, gateway));
 	}
@@ -86,7 +86,7 @@
 	 */
 	static Evidence read(String key, byte[] value) {
 		CrashRow row = RowJson.read(value, CRASH_ROW, "crash row");
-		Crash crash = new Crash(request(key), new Start(row.server(), row.startedMillis()));
+		Crash crash = new Crash(request(key), new Incarnation(row.server(), row.startedMillis()));
 		return new Evidence(crash, row.cleared() ? State.CLEARED : State.CONFIRMED, row.atMillis());
 	}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashStore.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashStore.java
@@ -77,7 +77,7 @@
 	/** The name of this gateway process, unique to this start. */
 	private final String process;
 
-	private final News updates;
+	private final Updates updates;
 
 	/** The crash of each row by its key, to look it up when the row is deleted. */
 	private final Map<String, Crash> rows = new HashMap<>();
@@ -92,7 +92,7 @@
 	private volatile boolean loaded;
 
 	CrashStore(RowStore store, CrashTable table, QuarantineProbes probes, ControlLoop control, String process,
-			News updates) {
+			Updates updates) {
 		this.store = store;
 		this.table = table;
 		this.probes = probes;
@@ -131,7 +131,7 @@
 		if (this.writing > 0 || !this.loaded) {
 			return;
 		}
-		List<Evidence> due = this.table.unwritten(MAX_WRITES, nowNanos);
+		List<Evidence> due = this.table.pendingWrites(MAX_WRITES, nowNanos);
 		if (!due.isEmpty()) {
 			write(due);
 		}
@@ -157,8 +157,8 @@
 	private void written(List<Evidence> due, Outcome outcome, long nowNanos) {
 		this.writing--;
 		switch (outcome) {
-			case Outcome.Committed _ -> due.forEach(this.table::written);
-			case Outcome.Conflict _ when due.size() == 1 -> this.table.written(due.getFirst());
+			case Outcome.Committed _ -> due.forEach(this.table::writeCommitted);
+			case Outcome.Conflict _ when due.size() == 1 -> this.table.writeCommitted(due.getFirst());
 			// Another gateway wrote one of the rows, so each row is written on its own.
 			case Outcome.Conflict _ -> due.forEach((pending) -> write(List.of(pending)));
 		}
@@ -168,7 +168,7 @@
 	private void writeFailed(List<Evidence> due, Throwable failure, long nowNanos) {
 		this.writing--;
 		RowLog.failed(CrashRows.key(due.getFirst().crash()), "write", failure);
-		due.forEach((pending) -> this.table.notWritten(pending, nowNanos));
+		due.forEach((pending) -> this.table.writeFailed(pending, nowNanos));
 	}
 
 	/**
@@ -196,7 +196,7 @@
 	// Crashes that the table evicted because it was full are deleted from the store as
 	// well.
 	private boolean isExpired(Crash crash, long epochMillis) {
-		if (this.table.isHeld(crash.request())) {
+		if (this.table.isQuarantined(crash.request())) {
 			return false;
 		}
 		Optional<Evidence> evidence = this.table.evidence(crash);
@@ -205,7 +205,7 @@
 
 	private long retentionMillis(Evidence evidence) {
 		boolean isCrowded = this.rows.size() > CROWDED_ROWS;
-		boolean isSingle = this.table.judge(evidence.crash().request()).servers().size() <= 1;
+		boolean isSingle = this.table.decide(evidence.crash().request()).servers().size() <= 1;
 		return (evidence.state() == State.CLEARED || (isCrowded && isSingle)) ? SHORT_RETENTION_MILLIS
 				: RETENTION_MILLIS;
 	}
@@ -240,7 +240,7 @@
 
 	private void crash(String key, Evidence evidence, long nowNanos) {
 		this.rows.put(key, evidence.crash());
-		if (this.table.stored(evidence, nowNanos)) {
+		if (this.table.rowRead(evidence, nowNanos)) {
 			this.updates.crash().accept(evidence, nowNanos);
 		}
 	}
@@ -251,7 +251,7 @@
 		}
 		Crash crash = this.rows.remove(key);
 		if (crash != null) {
-			this.table.removed(crash);
+			this.table.rowRemoved(crash);
 			this.updates.removed().accept(crash.request());
 		}
 	}
@@ -262,19 +262,19 @@
 	 * @param crash receives the evidence of a new or changed crash and the current time
 	 * @param removed receives the request of a deleted row or expired crash
 	 */
-	record News(BiConsumer<Evidence, Long> crash, Consumer<RequestDigest> removed) {
+	record Updates(BiConsumer<Evidence, Long> crash, Consumer<RequestDigest> removed) {
 	}
 
 	/** Applies changes of the stored table on the control thread. */
 	private final class Listener implements TableWatch.Listener {
 
 		@Override
-		public void all(List<Row> presentRows, long version) {
+		public void tableRead(List<Row> presentRows, long version) {
 			CrashStore.this.control.post((nowNanos) -> CrashStore.this.load(presentRows, nowNanos));
 		}
 
 		@Override
-		public void changed(List<Row> changed, long version) {
+		public void rowsChanged(List<Row> changed, long version) {
 			CrashStore.this.control.post((nowNanos) -> changed.forEach((row) -> row(row, nowNanos)));
 		}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/DutyLease.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/DutyLease.java
@@ -8,10 +8,10 @@
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.lease.LeaseCommand;
 import org.rosemaryfront.lease.LeaseEvent;
-import org.rosemaryfront.lease.LeaseMachine;
+import org.rosemaryfront.lease.LeaseStateMachine;
 import org.rosemaryfront.lease.LeaseRow;
 import org.rosemaryfront.lease.LeaseRowCodec;
-import org.rosemaryfront.lease.LeaseTerms;
+import org.rosemaryfront.lease.LeaseTiming;
 import org.rosemaryfront.model.Verdict;
 import org.rosemaryfront.ports.RowStore;
 import org.rosemaryfront.ports.RowStore.Commit;
@@ -55,7 +55,7 @@
 	 */
 	private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(1);
 
-	private static final LeaseTerms TERMS = new LeaseTerms(TERM.toNanos(), MARGIN.toNanos(), RENEWAL_INTERVAL.toNanos(),
+	private static final LeaseTiming TERMS = new LeaseTiming(TERM.toNanos(), MARGIN.toNanos(), RENEWAL_INTERVAL.toNanos(),
 			READ_INTERVAL.toNanos(), RETRY_DELAY.toNanos(), RESPONSE_TIMEOUT.toNanos());
 
 	private static final String TABLE = "leases";
@@ -64,7 +64,7 @@
 
 	private final RowStore store;
 
-	private final LeaseMachine machine;
+	private final LeaseStateMachine machine;
 
 	private final Consumer<Runnable> control;
 
@@ -73,7 +73,7 @@
 	DutyLease(RowStore store, String self, long seed, Consumer<Runnable> control) {
 		this.store = store;
 		this.control = control;
-		this.machine = LeaseMachine.of(self, TERMS, seed);
+		this.machine = LeaseStateMachine.of(self, TERMS, seed);
 	}
 
 	void tick(long nowNanos) {
@@ -87,7 +87,7 @@
 	}
 
 	boolean mayAct(long nowNanos) {
-		return this.machine.mayOrder(nowNanos);
+		return this.machine.maySendOrders(nowNanos);
 	}
 
 	long fence() {
@@ -95,7 +95,7 @@
 	}
 
 	void updateGatewayCount(int count) {
-		this.machine.processes(count);
+		this.machine.setProcessCount(count);
 	}
 
 	/**
@@ -104,7 +104,7 @@
 	 * acquired again with a higher fencing number.
 	 */
 	void giveUp() {
-		this.machine.fenceSeen(this.machine.fence() + 1);
+		this.machine.observeFence(this.machine.fence() + 1);
 	}
 
 	/**
@@ -112,7 +112,7 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void heldElsewhere(long nowNanos) {
-		this.machine.heldElsewhere(nowNanos);
+		this.machine.holderAnnounced(nowNanos);
 	}
 
 	void release(long nowNanos) {
@@ -121,7 +121,7 @@
 	}
 
 	private void logChange(long nowNanos) {
-		boolean holds = this.machine.mayOrder(nowNanos);
+		boolean holds = this.machine.maySendOrders(nowNanos);
 		if (holds != this.held) {
 			this.held = holds;
 			EventLog.info(holds ? GatewayEvents.DUTIES_TAKEN : GatewayEvents.DUTIES_LOST, "fence", this.machine.fence(),
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayControl.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayControl.java
@@ -16,17 +16,17 @@
 import org.rosemaryfront.dispatch.BackendTable;
 import org.rosemaryfront.dispatch.Dispatcher;
 import org.rosemaryfront.dispatch.Dispatcher.Choice;
-import org.rosemaryfront.dispatch.Dispatcher.Wish;
-import org.rosemaryfront.dispatch.RetryAllowance;
+import org.rosemaryfront.dispatch.Dispatcher.CallRequirements;
+import org.rosemaryfront.dispatch.RetryBudget;
 import org.rosemaryfront.duties.UsageLedger;
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.fleet.Fleet;
 import org.rosemaryfront.gateway.CallProgress.FirstToken;
 import org.rosemaryfront.model.Verdict;
-import org.rosemaryfront.ports.CallTerms.Prompt;
+import org.rosemaryfront.ports.CallMetadata.Prompt;
 import org.rosemaryfront.program.ControlLoop;
 import org.rosemaryfront.quota.QuotaTable;
-import org.rosemaryfront.rollout.Versions;
+import org.rosemaryfront.rollout.VersionRule;
 import org.rosemaryfront.routes.Organisation;
 import org.rosemaryfront.routes.Route;
 import org.rosemaryfront.routes.ServiceSpec;
@@ -79,7 +79,7 @@
 
 	private final Dispatcher dispatcher;
 
-	private final RetryAllowance retries;
+	private final RetryBudget retries;
 
 	private final CallQuotas quotas;
 
@@ -101,7 +101,7 @@
 	private volatile Optional<StopTimes> stop = Optional.empty();
 
 	/** The servers that accept calls; read on the traffic thread. */
-	private volatile Set<BackendServer.Start> eligibleServers = Set.of();
+	private volatile Set<BackendServer.Incarnation> eligibleServers = Set.of();
 
 	/** The store version and the time of the last update of the server table. */
 	private long serversVersion;
@@ -117,7 +117,7 @@
 	 * Prompt tokens that the calls sent so far were expected to require servers to
 	 * prefill.
 	 */
-	private long readingTokens;
+	private long prefillTokens;
 
 	GatewayControl(ControlLoop loop, BackendTable servers, GatewaySettings settings, QuotaTable quotas, Fleet fleet,
 			UsageLedger usage, CrashGuard crashGuard, Rollouts rollouts, Freshness serversFreshness,
@@ -131,9 +131,9 @@
 		this.rollouts = rollouts;
 		this.serversFreshness = serversFreshness;
 		GatewaySettings.Bounds bounds = settings.bounds();
-		this.retries = new RetryAllowance(bounds.retryShare() * RETRY_SHARE_FACTOR, bounds.retryFixed(),
+		this.retries = new RetryBudget(bounds.retryShare() * RETRY_SHARE_FACTOR, bounds.retryFixed(),
 				bounds.retryWindowMillis(), System.nanoTime());
-		gateways(fleet.serving(System.nanoTime()));
+		gateways(fleet.servingCount(System.nanoTime()));
 	}
 
 	// -- policy, on the traffic thread
@@ -144,12 +144,12 @@
 	}
 
 	@Override
-	public boolean stopping() {
+	public boolean isStopping() {
 		return this.stop.isPresent();
 	}
 
 	@Override
-	public boolean accepting(Optional<Route> route) {
+	public boolean acceptsNewCall(Optional<Route> route) {
 		return this.stop.map((times) -> times.accepts(timeoutMillis(route), System.nanoTime())).orElse(true);
 	}
 
@@ -160,13 +160,13 @@
 	}
 
 	@Override
-	public boolean isHeldBack(Call call) {
+	public boolean isQuarantined(Call call) {
 		return this.crashGuard.isQuarantined(call);
 	}
 
 	@Override
-	public boolean takesCalls(BackendServer server) {
-		return this.eligibleServers.contains(server.start());
+	public boolean acceptsCalls(BackendServer server) {
+		return this.eligibleServers.contains(server.incarnation());
 	}
 
 	@Override
@@ -175,11 +175,11 @@
 	}
 
 	@Override
-	public void began(Call call) {
+	public void runStarted(Call call) {
 		long epochMillis = System.currentTimeMillis();
 		long beganNanos = System.nanoTime();
 		this.loop.post((_) -> {
-			call.organisation().ifPresent((organisation) -> this.usage.began(organisation.name(), epochMillis));
+			call.organisation().ifPresent((organisation) -> this.usage.recordStart(organisation.name(), epochMillis));
 			CallProgress progress = this.calls.get(call);
 			if (progress != null) {
 				progress.latencyRatio(beganNanos)
@@ -203,23 +203,23 @@
 			Optional<CallProgress> progress = Optional.ofNullable(this.calls.remove(call));
 			progress.ifPresent(this::promptPrefilled);
 			switch (ending) {
-				case ANSWERED -> {
-					this.servers.ended(server.start(), false, nowNanos);
+				case RESPONDED -> {
+					this.servers.recordCallEnd(server.incarnation(), false, nowNanos);
 					progress.ifPresent((known) -> this.crashGuard.answered(call, server, known.sentNanos(), nowNanos));
 				}
 				// An unresponsive server still accepts calls on open connections and
 				// never responds, so only missing responses reveal it.
-				case UNANSWERED -> {
-					this.servers.ended(server.start(), true, nowNanos);
+				case TIMED_OUT -> {
+					this.servers.recordCallEnd(server.incarnation(), true, nowNanos);
 					this.rollouts.failed(call.service(), call.route().name(), server);
 				}
-				case ABANDONED -> this.servers.abandoned(server.start());
+				case ABANDONED -> this.servers.recordCallCancelled(server.incarnation());
 			}
 		});
 	}
 
 	@Override
-	public void dropped(Call call) {
+	public void endedWithoutServer(Call call) {
 		this.loop.post((nowNanos) -> {
 			this.crashGuard.ended(call);
 			Optional.ofNullable(this.calls.remove(call))
@@ -240,7 +240,7 @@
 			return;
 		}
 		this.calls.put(call, progress);
-		this.retries.first(call.service(), nowNanos);
+		this.retries.recordFirstAttempt(call.service(), nowNanos);
 		dispatch(call, progress, nowNanos);
 	}
 
@@ -255,9 +255,9 @@
 	}
 
 	private Choice choose(Call call, CallProgress progress, long nowNanos) {
-		Wish requirements = requirements(call, progress, nowNanos);
+		CallRequirements requirements = requirements(call, progress, nowNanos);
 		Choice choice = new Choice.NoServer();
-		for (Versions versions : this.rollouts.versions(call.service(), !progress.tried().isEmpty(), nowNanos)) {
+		for (VersionRule versions : this.rollouts.versions(call.service(), !progress.tried().isEmpty(), nowNanos)) {
 			choice = this.dispatcher.choose(requirements, progress.tried(), versions::allows, nowNanos);
 			if (choice instanceof Choice.Chosen) {
 				return choice;
@@ -277,12 +277,12 @@
 		}
 	}
 
-	private Wish requirements(Call call, CallProgress progress, long nowNanos) {
-		long age = (nowNanos - call.arrivedNanos()) / NANOS_PER_MILLI;
-		Optional<Prompt> prompt = call.terms().prompt();
-		return new Wish(call.service(), progress.prefix(), engine(call.service()),
-				prompt.map(Prompt::ownTokens).orElse(0),
-				Wish.millisLeft(call.route().targetMillis() - age, call.remainingMillis(nowNanos), progress.ran()),
+	private CallRequirements requirements(Call call, CallProgress progress, long nowNanos) {
+		long age = (nowNanos - call.receivedNanos()) / NANOS_PER_MILLI;
+		Optional<Prompt> prompt = call.metadata().prompt();
+		return new CallRequirements(call.service(), progress.prefix(), engine(call.service()),
+				prompt.map(Prompt::unsharedTokens).orElse(0),
+				CallRequirements.remainingMillis(call.route().targetMillis() - age, call.remainingMillis(nowNanos), progress.ran()),
 				call.priority());
 	}
 
@@ -295,8 +295,8 @@
 	 * @param service the name of the service
 	 * @return the capacity in tokens; 0 if the service has no engines
 	 */
-	long memoryTokens(String service) {
-		return engine(service).map(EngineSpec::kvTokens).orElse(0L);
+	long kvCacheTokens(String service) {
+		return engine(service).map(EngineSpec::kvCacheTokens).orElse(0L);
 	}
 
 	private void send(Call call, CallProgress progress, Choice.Chosen chosen, long nowNanos) {
@@ -305,9 +305,9 @@
 				call.digest().map(RequestDigest::toString).orElse("none"), "route", call.route().name(), "organisation",
 				call.organisation().map(Organisation::name).orElse("none"), "units", Math.round(progress.units()),
 				"quota", progress.quotaUsage(), "gateways", progress.sharingGateways(), "parts",
-				call.terms().prompt().map(Prompt::partList).orElse("none"), "targetMillis", call.route().targetMillis(),
+				call.metadata().prompt().map(Prompt::segmentList).orElse("none"), "targetMillis", call.route().targetMillis(),
 				"server", server.id(), "zone", server.zone(), "load", chosen.load(), "unreadTokens",
-				chosen.unreadTokens(), "fetchFrom", chosen.fetchFrom().map(BackendServer::id).orElse("none"),
+				chosen.uncachedTokens(), "fetchFrom", chosen.transferSource().map(BackendServer::id).orElse("none"),
 				"expectedMillis", chosen.expectedMillis(), "candidates", chosen.candidates(), "version",
 				server.version(), "serversVersion", this.serversVersion, "serversAgeMillis",
 				(nowNanos - this.serversUpdatedNanos) / NANOS_PER_MILLI, "serversProvenMillis",
@@ -315,10 +315,10 @@
 				this.configuration.map(TrafficConfiguration::version).orElse(0L), "remainingMillis",
 				call.remainingMillis(nowNanos));
 		progress.sent(chosen, nowNanos);
-		this.servers.sent(server.start(), chosen.unreadTokens());
-		this.servers.reads(server.start(), progress.prefix(), memoryTokens(call.service()));
-		this.readingTokens += chosen.unreadTokens();
-		call.send(server, maxConnections(call.service()), chosen.fetchFrom().map(BackendServer::address));
+		this.servers.recordCallSent(server.incarnation(), chosen.uncachedTokens());
+		this.servers.recordPrefillStart(server.incarnation(), progress.prefix(), kvCacheTokens(call.service()));
+		this.prefillTokens += chosen.uncachedTokens();
+		call.send(server, maxConnections(call.service()), chosen.transferSource().map(BackendServer::address));
 	}
 
 	private String serversConfirmedMillis(long nowNanos) {
@@ -328,9 +328,9 @@
 
 	private void failed(Call call, BackendServer server, Failure failure, long nowNanos) {
 		this.crashGuard.failed(call, server, failure, nowNanos);
-		boolean serverFault = !(failure.answered() && failure.verdict() instanceof Verdict.NotRun);
+		boolean serverFault = !(failure.responded() && failure.verdict() instanceof Verdict.NotRun);
 		CallProgress progress = this.calls.get(call);
-		this.servers.ended(server.start(), serverFault, nowNanos);
+		this.servers.recordCallEnd(server.incarnation(), serverFault, nowNanos);
 		if (progress == null) {
 			return;
 		}
@@ -366,29 +366,29 @@
 			return (progress.unsentAttempts() < MAX_UNSENT_ATTEMPTS) ? Optional.empty()
 					: Optional.of(Cause.NO_CONNECTION);
 		}
-		if (!notRun && !call.route().repeatable()) {
+		if (!notRun && !call.route().retryable()) {
 			return Optional.of(Cause.MAY_HAVE_RUN);
 		}
-		if (!call.isRepeatable()) {
+		if (!call.canResend()) {
 			return Optional.of(Cause.BODY_NOT_KEPT);
 		}
-		if (call.sends() >= call.route().maxAttempts()) {
+		if (call.sendCount() >= call.route().maxAttempts()) {
 			return Optional.of(Cause.ATTEMPTS_USED);
 		}
-		if (!this.retries.take(call.service(), nowNanos)) {
+		if (!this.retries.tryAcquire(call.service(), nowNanos)) {
 			return Optional.of(Cause.RETRIES_USED);
 		}
 		return Optional.empty();
 	}
 
 	private void learn(String service, FirstToken first) {
-		this.servers.firstToken(first.server(), first.expectedMillis(), first.millis());
-		first.work().ifPresent((work) -> this.dispatcher.model(service).learn(work, first.millis()));
+		this.servers.recordFirstToken(first.server(), first.expectedMillis(), first.millis());
+		first.work().ifPresent((work) -> this.dispatcher.model(service).update(work, first.millis()));
 	}
 
 	private void promptPrefilled(CallProgress progress) {
 		long tokens = progress.takeUncachedTokens();
-		progress.server().ifPresent((server) -> this.servers.read(server, tokens));
+		progress.server().ifPresent((server) -> this.servers.recordPrefillEnd(server, tokens));
 	}
 
 	private int maxConnections(String service) {
@@ -418,7 +418,7 @@
 				(known == Long.MIN_VALUE) ? "none" : known);
 	}
 
-	void serversSeen(long version, long nowNanos) {
+	void serversUpdated(long version, long nowNanos) {
 		this.serversVersion = version;
 		this.serversUpdatedNanos = nowNanos;
 		serversChanged();
@@ -426,19 +426,19 @@
 
 	/** Refreshes the set of servers that accept calls. */
 	void serversChanged() {
-		this.eligibleServers = this.servers.takers();
+		this.eligibleServers = this.servers.eligibleServers();
 	}
 
 	/**
 	 * Ends the calls of servers that restarted. Their responses will never arrive, and
 	 * their connections may stay open without data until the calls time out.
 	 */
-	void dropCallsOfEarlierStarts() {
+	void endCallsOfEarlierStarts() {
 		this.calls.forEach((call, progress) -> progress.server()
 			.filter((server) -> this.servers.find(server.id())
 				.filter((known) -> known.startedMillis() > server.startedMillis())
 				.isPresent())
-			.ifPresent(call::serverGone));
+			.ifPresent(call::serverRestarted));
 	}
 
 	/**
@@ -446,7 +446,7 @@
 	 * server, because each would crash another server. The probe is not ended.
 	 * @param request the digest of the request
 	 */
-	void withdraw(RequestDigest request) {
+	void endCopies(RequestDigest request) {
 		this.crashGuard.copies(request, this.calls.keySet())
 			.forEach((call) -> this.crashGuard.withdraw(call, this.calls.get(call).ran()));
 	}
@@ -457,8 +457,8 @@
 	 * @param gateway opens the connection
 	 * @param reply receives whether the server is alive
 	 */
-	void ask(BackendServer server, Gateway gateway, Consumer<Boolean> reply) {
-		gateway.ask(server, maxConnections(server.service()), reply);
+	void checkAlive(BackendServer server, Gateway gateway, Consumer<Boolean> reply) {
+		gateway.checkAlive(server, maxConnections(server.service()), reply);
 	}
 
 	/**
@@ -468,7 +468,7 @@
 	 */
 	void gateways(int count) {
 		this.gateways = count;
-		this.retries.processes(count);
+		this.retries.setProcessCount(count);
 	}
 
 	/**
@@ -485,12 +485,12 @@
 		return this.dispatcher;
 	}
 
-	long readingTokens() {
-		return this.readingTokens;
+	long prefillTokens() {
+		return this.prefillTokens;
 	}
 
-	Set<BackendServer.Start> knownServers() {
-		return this.servers.servers().stream().map(BackendServer::start).collect(Collectors.toSet());
+	Set<BackendServer.Incarnation> knownServers() {
+		return this.servers.servers().stream().map(BackendServer::incarnation).collect(Collectors.toSet());
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayDirectory.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayDirectory.java
@@ -80,17 +80,17 @@
 	}
 
 	@Override
-	public void all(List<Row> all, long version) {
+	public void tableRead(List<Row> all, long version) {
 		this.control.post((now) -> {
 			all.forEach((row) -> addGateway(row, now));
-			this.fleet.complete();
+			this.fleet.gatewaysListed();
 			this.loaded = true;
 			this.onLoaded.accept(now);
 		});
 	}
 
 	@Override
-	public void changed(List<Row> changes, long version) {
+	public void rowsChanged(List<Row> changes, long version) {
 		this.control.post((now) -> changes.forEach((row) -> addGateway(row, now)));
 	}
 
@@ -101,7 +101,7 @@
 		String address = new String(row.value().get(), StandardCharsets.UTF_8);
 		try {
 			this.peers.addPeer(row.key(), Addresses.parse(address));
-			this.fleet.found(row.key(), now);
+			this.fleet.addGateway(row.key(), now);
 		}
 		catch (IllegalArgumentException ex) {
 			RowLog.unreadable(row.key(), ex);
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayProcess.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayProcess.java
@@ -27,7 +27,7 @@
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.fleet.Fleet;
 import org.rosemaryfront.fleet.Fleet.Sharing;
-import org.rosemaryfront.gateway.PauseWatch.Finding;
+import org.rosemaryfront.gateway.PauseDetector.Observation;
 import org.rosemaryfront.ports.CallCodec;
 import org.rosemaryfront.ports.Duties;
 import org.rosemaryfront.ports.RecordCodec;
@@ -140,7 +140,7 @@
 
 	private final GatewayReports reports;
 
-	private final PlatformNews platformUpdates;
+	private final PlatformUpdates platformUpdates;
 
 	private volatile boolean stopping;
 
@@ -161,15 +161,15 @@
 
 	private long nextDutiesNanos = System.nanoTime();
 
-	private final PauseWatch pauseWatch = new PauseWatch(System.nanoTime(), System.currentTimeMillis());
+	private final PauseDetector pauseWatch = new PauseDetector(System.nanoTime(), System.currentTimeMillis());
 
-	private final FollowedTable configurationTable;
+	private final TableReplica configurationTable;
 
-	private final FollowedTable serversTable;
+	private final TableReplica serversTable;
 
-	private final FollowedTable gatewaysTable;
+	private final TableReplica gatewaysTable;
 
-	private final FollowedTable crashesTable;
+	private final TableReplica crashesTable;
 
 	private final SharedTables tables;
 
@@ -205,9 +205,9 @@
 		this.peers = PeerExchange.open(io, settings.peers(), settings.name(), this.start, this::enqueueReport);
 		this.directory = new GatewayDirectory(platform.rows(), settings, this.peers, this.fleet, this.control,
 				this::gatewaysLoaded);
-		this.platformUpdates = new PlatformNews(platform.records(), this.control, this.servers, this.decisions,
+		this.platformUpdates = new PlatformUpdates(platform.records(), this.control, this.servers, this.decisions,
 				this.rollouts, this.serversTable.freshness(), this::serverRestarted,
-				() -> this.metrics.count("servers.unreadable"));
+				() -> this.metrics.increment("servers.unreadable"));
 		this.lease = new DutyLease(platform.rows(), settings.name(), this.start, this::onControl);
 		this.usageDuty = new UsageDuty(platform.rows(), platform.duties(), settings, this::onControl,
 				this.lease::giveUp);
@@ -216,26 +216,26 @@
 		this.reports = new GatewayReports(this.peers, this.fleet, this.servers, this.quotas, this.decisions, this.usage,
 				this.usageDuty, this.crashes, this.lease, this.tables, this.rollouts, this.rolloutDuty, settings);
 		this.sizeDuty = new SizeDuty(this.servers,
-				(service) -> this.decisions.dispatcher().model(service).tokensPerMilli(), this.rollouts::counts,
+				(service) -> this.decisions.dispatcher().model(service).prefillTokensPerMilli(), this.rollouts::countsTowardsCapacity,
 				platform.duties(), settings.zones(), this::onControl, this.lease::giveUp);
 		this.metrics.gauge("log.dropped", EventLog::dropped);
 		this.metrics.gauge("control.lag.millis", () -> this.control.lagNanos() / NANOS_PER_MILLI);
 		this.metrics.gauge("servers.proven.millis", () -> confirmationAgeMillis(this.serversTable));
 		this.metrics.gauge("configuration.proven.millis", () -> confirmationAgeMillis(this.configurationTable));
-		this.metrics.gauge("requests.held", this.crashes::heldCount);
+		this.metrics.gauge("requests.held", this.crashes::quarantinedCount);
 		// Opened last, because its requests use all other components.
 		this.admin = AdminServer.open(loops, settings, this::isReady, this.metrics.registry(),
 				Map.of(platform.records().configuration().table(), this.configurationTable,
-						platform.records().servers(), this.serversTable, GatewayDirectory.TABLE, this.gatewaysTable,
+						platform.records().serversTable(), this.serversTable, GatewayDirectory.TABLE, this.gatewaysTable,
 						CrashRows.TABLE, this.crashesTable),
 				new QuarantineOperations());
 	}
 
 	// A registration expires with the third missed heartbeat, the first of which may have
 	// been due immediately after the last freshness confirmation.
-	private static FollowedTable table(GatewaySettings settings) {
+	private static TableReplica table(GatewaySettings settings) {
 		long outageNanos = (MAX_MISSED_HEARTBEATS - 1) * settings.bounds().heartbeatMillis() * NANOS_PER_MILLI;
-		return new FollowedTable(Freshness.unproven(outageNanos));
+		return new TableReplica(Freshness.unconfirmed(outageNanos));
 	}
 
 	/**
@@ -274,10 +274,10 @@
 
 	// Returns the coefficients of a service's latency model that were learned from calls.
 	List<Double> learnedRates(String service) {
-		return callOnControl(() -> this.decisions.dispatcher().model(service).learned());
+		return callOnControl(() -> this.decisions.dispatcher().model(service).fittedCoefficients());
 	}
 
-	private static long confirmationAgeMillis(FollowedTable table) {
+	private static long confirmationAgeMillis(TableReplica table) {
 		OptionalLong age = table.freshness().ageNanos(System.nanoTime());
 		return age.isPresent() ? age.getAsLong() / NANOS_PER_MILLI : -1;
 	}
@@ -293,7 +293,7 @@
 	}
 
 	private boolean isReady() {
-		return this.platformUpdates.isComplete() && this.directory.isLoaded() && this.crashes.isKnown()
+		return this.platformUpdates.isComplete() && this.directory.isLoaded() && this.crashes.isLoaded()
 				&& !this.stopping;
 	}
 
@@ -301,21 +301,21 @@
 
 	private void followTables() {
 		FreshnessLimits changeLimits = FreshnessLimits.within(this.settings.bounds().changeMillis());
-		FreshnessLimits ownTableLimits = FreshnessLimits.usual().times(OWN_TABLES_LIMIT_FACTOR);
+		FreshnessLimits ownTableLimits = FreshnessLimits.defaults().multipliedBy(OWN_TABLES_LIMIT_FACTOR);
 		this.tables.follow(this.platform.records().configuration().table(), this.configurationTable, changeLimits,
 				this.platformUpdates.configuration());
-		this.tables.follow(this.platform.records().servers(), this.serversTable, changeLimits,
+		this.tables.follow(this.platform.records().serversTable(), this.serversTable, changeLimits,
 				this.platformUpdates.servers());
 		this.tables.follow(GatewayDirectory.TABLE, this.gatewaysTable, ownTableLimits, this.directory);
 		this.tables.follow(CrashRows.TABLE, this.crashesTable, ownTableLimits, this.crashes.listener());
 		this.directory.announce();
 		// The time that construction took must not count as a pause of the process.
-		this.pauseWatch.look(System.nanoTime(), System.currentTimeMillis());
+		this.pauseWatch.check(System.nanoTime(), System.currentTimeMillis());
 		this.started = true;
 	}
 
 	private void gatewaysLoaded(long now) {
-		this.decisions.gateways(this.fleet.serving(now));
+		this.decisions.gateways(this.fleet.servingCount(now));
 		this.reportAwaited = true;
 	}
 
@@ -336,7 +336,7 @@
 			this.receivedReports.add(received);
 		}
 		else {
-			this.metrics.count("reports.dropped");
+			this.metrics.increment("reports.dropped");
 		}
 		if (received.report().getCrashesCount() > 0) {
 			this.control.post(this::processReports);
@@ -361,7 +361,7 @@
 			return;
 		}
 		catchUp(now);
-		List<BackendServer> dropped = this.servers.expire(now);
+		List<BackendServer> dropped = this.servers.removeExpired(now);
 		if (!dropped.isEmpty()) {
 			dropped.forEach((server) -> EventLog.info(GatewayEvents.SERVER_DROPPED, "server", server.id(), "service",
 					server.service()));
@@ -371,7 +371,7 @@
 		this.crashes.tick(now);
 		this.tables.tick(now);
 		this.reportAwaited |= this.crashes.isUrgent() || this.tables.isUrgent(now);
-		if (now - this.lastReportNanos >= (this.reportAwaited ? MIN_REPORT_INTERVAL_NANOS : this.fleet.reportNanos())) {
+		if (now - this.lastReportNanos >= (this.reportAwaited ? MIN_REPORT_INTERVAL_NANOS : this.fleet.reportIntervalNanos())) {
 			this.lastReportNanos = now;
 			this.reportAwaited = false;
 			this.reports.send(false, now);
@@ -384,25 +384,25 @@
 
 	private void serverRestarted() {
 		this.gateway.retainServers(this.decisions.knownServers());
-		this.decisions.dropCallsOfEarlierStarts();
+		this.decisions.endCallsOfEarlierStarts();
 	}
 
 	private void handlePause(long now) {
-		switch (this.pauseWatch.look(now, System.currentTimeMillis())) {
-			case Finding.Running _ -> {
+		switch (this.pauseWatch.check(now, System.currentTimeMillis())) {
+			case Observation.Running _ -> {
 			}
-			case Finding.Paused paused -> {
+			case Observation.Paused paused -> {
 				EventLog.warn(GatewayEvents.PAUSED, "millis", paused.millis(), "monotonicMillis",
 						paused.monotonicMillis());
 				this.tables.paused(now);
 			}
-			case Finding.Suspended suspended -> {
+			case Observation.Suspended suspended -> {
 				EventLog.warn(GatewayEvents.PAUSED, "millis", suspended.millis(), "monotonicMillis",
 						suspended.monotonicMillis());
 				// Another process may hold the lease by now, and received reports are out
 				// of date.
 				this.lease.giveUp();
-				this.fleet.forgetConfirmations();
+				this.fleet.discardConfirmations();
 				this.tables.paused(now);
 			}
 		}
@@ -410,7 +410,7 @@
 
 	private void logSharing(long now) {
 		Sharing sharing = this.fleet.sharing(now);
-		if (!sharing.hasGroupOf(this.loggedSharing)) {
+		if (!sharing.isSharedAs(this.loggedSharing)) {
 			EventLog.info(GatewayEvents.QUOTA_SHARING, "gateways", sharing.group(), "of", sharing.members(), "agreed",
 					sharing.agreed());
 		}
@@ -419,11 +419,11 @@
 
 	private void runDuties(long now) {
 		this.reports.handleTimeouts(now);
-		this.tableAddresses = this.peers.tableAddresses(this.fleet::isLiving);
-		this.decisions.gateways(this.fleet.serving(now));
+		this.tableAddresses = this.peers.tableAddresses(this.fleet::isLive);
+		this.decisions.gateways(this.fleet.servingCount(now));
 		this.tables.role(this.fleet.role(this.settings.name(), now));
 		logSharing(now);
-		this.lease.updateGatewayCount(this.fleet.living());
+		this.lease.updateGatewayCount(this.fleet.liveCount());
 		this.lease.tick(now);
 		long epochMillis = System.currentTimeMillis();
 		this.usageDuty.addClosedWindows(this.usage.close(epochMillis), this.start);
@@ -436,13 +436,13 @@
 		if (this.lease.mayAct(now) && !this.stopping) {
 			Set<String> organisations = new HashSet<>();
 			configuration.get().organisations().stream().map(Organisation::name).forEach(organisations::add);
-			this.crashes.tidy(epochMillis);
+			this.crashes.cleanUp(epochMillis);
 			this.usageDuty.act(this.lease.fence(), epochMillis, organisations);
 			this.sizeDuty.act(this.lease.fence(), configuration.get(), now);
-			this.rolloutDuty.act(epochMillis, now);
+			this.rolloutDuty.advance(epochMillis, now);
 		}
 		else {
-			this.rolloutDuty.pause();
+			this.rolloutDuty.reset();
 		}
 	}
 
@@ -518,30 +518,30 @@
 	}
 
 	/** Connects the crash records with calls, connections and metrics. */
-	private final class CrashHooks implements CrashRecords.Hooks {
+	private final class CrashHooks implements CrashRecords.Callbacks {
 
 		@Override
-		public void ask(BackendServer server, Consumer<Boolean> reply) {
-			GatewayProcess.this.decisions.ask(server, GatewayProcess.this.gateway, reply);
+		public void checkAlive(BackendServer server, Consumer<Boolean> reply) {
+			GatewayProcess.this.decisions.checkAlive(server, GatewayProcess.this.gateway, reply);
 		}
 
 		@Override
-		public void held(RequestDigest request) {
-			GatewayProcess.this.decisions.withdraw(request);
+		public void quarantined(RequestDigest request) {
+			GatewayProcess.this.decisions.endCopies(request);
 		}
 
 		@Override
 		public void count(String name) {
-			GatewayProcess.this.metrics.count(name);
+			GatewayProcess.this.metrics.increment(name);
 		}
 
 	}
 
 	/** Lists quarantined requests for an operator, and releases them. */
-	private final class QuarantineOperations implements AdminServer.HeldRequests {
+	private final class QuarantineOperations implements AdminServer.RequestQuarantine {
 
 		@Override
-		public Mono<List<AdminServer.HeldRequest>> list() {
+		public Mono<List<AdminServer.SuspectRequest>> list() {
 			return Mono.fromFuture(() -> onControl((_) -> GatewayProcess.this.crashes.list()));
 		}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayReports.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayReports.java
@@ -15,13 +15,13 @@
 import org.rosemaryfront.dispatch.BackendServer;
 import org.rosemaryfront.dispatch.BackendTable;
 import org.rosemaryfront.dispatch.BackendUse;
-import org.rosemaryfront.dispatch.SharedParts;
+import org.rosemaryfront.dispatch.PromptPrefix;
 import org.rosemaryfront.duties.UsageLedger;
 import org.rosemaryfront.duties.UsageLedger.Window;
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.fleet.Fleet;
 import org.rosemaryfront.fleet.Fleet.Confirmation;
-import org.rosemaryfront.fleet.Fleet.Hearing;
+import org.rosemaryfront.fleet.Fleet.ReportStatus;
 import org.rosemaryfront.gateway.proto.GatewayReport;
 import org.rosemaryfront.gateway.proto.OrganisationUse;
 import org.rosemaryfront.gateway.proto.ServerUse;
@@ -99,21 +99,21 @@
 	void send(boolean leaving, long now) {
 		Window window = this.usage.current(System.currentTimeMillis());
 		GatewayReport.Builder report = GatewayReport.newBuilder().setWindow(window.index());
-		this.quotas.used(now)
+		this.quotas.useToReport(now)
 			.forEach((name,
 					use) -> report.addOrganisations(OrganisationUse.newBuilder()
 						.setOrganisation(name)
 						.setUnits(Math.round(use.units()))
-						.setAsked(Math.round(use.asked()))
+						.setAsked(Math.round(use.requested()))
 						.setBegun(window.counts().getOrDefault(name, 0L).intValue())));
-		report.setFresh(this.quotas.isFresh(now)).setGroup(this.fleet.group(now));
+		report.setFresh(this.quotas.isInFirstWindow(now)).setGroup(this.fleet.group(now));
 		this.usageDuty.rowsToHandOver()
 			.forEach((row) -> report.addUnwritten(UnwrittenUse.newBuilder()
 				.setWindow(row.window())
 				.setRow(row.row())
 				.setCounts(ByteString.copyFrom(row.counts()))));
 		addServers(report);
-		report.addAllCrashes(this.crashes.news(now));
+		report.addAllCrashes(this.crashes.updates(now));
 		report.setDutyFence(this.lease.mayAct(now) ? this.lease.fence() : 0)
 			.setReadsTables(this.tables.isReading(now))
 			.addAllTables(this.tables.updates(now));
@@ -121,17 +121,17 @@
 		if (number % SPEED_REPORT_INTERVAL == 1) {
 			addSpeeds(report);
 		}
-		report.setReadingTokens(this.decisions.readingTokens()).setLeaving(leaving).setAdminPort(this.adminPort);
+		report.setReadingTokens(this.decisions.prefillTokens()).setLeaving(leaving).setAdminPort(this.adminPort);
 		report.addAllRollouts(this.rollouts
-			.news((service) -> this.lease.mayAct(now) ? this.rolloutDuty.phase(service) : Optional.empty(), now));
-		this.peers.broadcast(report, this.fleet::isLiving, (gateway) -> this.fleet.confirmation(gateway, now));
-		this.fleet.told(number, now);
-		this.quotas.told(number, now);
+			.updates((service) -> this.lease.mayAct(now) ? this.rolloutDuty.phase(service) : Optional.empty(), now));
+		this.peers.broadcast(report, this.fleet::isLive, (gateway) -> this.fleet.confirmation(gateway, now));
+		this.fleet.reportSent(number, now);
+		this.quotas.reportSent(number, now);
 	}
 
 	private void addSpeeds(GatewayReport.Builder report) {
 		this.decisions.dispatcher().models().forEach((service, model) -> {
-			List<Double> rates = model.learned();
+			List<Double> rates = model.fittedCoefficients();
 			if (!rates.isEmpty()) {
 				report.addSpeeds(ServiceSpeed.newBuilder().setService(service).addAllRates(rates));
 			}
@@ -139,19 +139,19 @@
 	}
 
 	private void addServers(GatewayReport.Builder report) {
-		Map<BackendServer.Start, BackendUse> uses = this.servers.ownUse();
-		Map<BackendServer.Start, List<SharedParts.Part>> segments = this.servers.partsToTell();
-		Set<BackendServer.Start> starts = new HashSet<>(uses.keySet());
+		Map<BackendServer.Incarnation, BackendUse> uses = this.servers.ownUse();
+		Map<BackendServer.Incarnation, List<PromptPrefix.Segment>> segments = this.servers.takeSegmentUpdates();
+		Set<BackendServer.Incarnation> starts = new HashSet<>(uses.keySet());
 		starts.addAll(segments.keySet());
-		for (BackendServer.Start server : starts) {
+		for (BackendServer.Incarnation server : starts) {
 			BackendUse use = uses.getOrDefault(server, BackendUse.NONE);
 			ServerUse.Builder serverUse = report.addServersBuilder()
 				.setServer(server.id())
 				.setStartedMillis(server.startedMillis())
 				.setCalls(use.calls())
-				.setUnreadTokens((int) use.unreadTokens());
+				.setUnreadTokens((int) use.uncachedTokens());
 			segments.getOrDefault(server, List.of())
-				.forEach((segment) -> serverUse.addParts(segment.chain()).addPartTokens(segment.tokens()));
+				.forEach((segment) -> serverUse.addParts(segment.prefixHash()).addPartTokens(segment.tokens()));
 		}
 	}
 
@@ -167,9 +167,9 @@
 		if (gateway.equals(this.self)) {
 			return false;
 		}
-		boolean wasLive = this.fleet.isLiving(gateway);
-		Hearing status = this.fleet.heard(fleetReport(report), now);
-		if (status == Hearing.LATE) {
+		boolean wasLive = this.fleet.isLive(gateway);
+		ReportStatus status = this.fleet.reportReceived(fleetReport(report), now);
+		if (status == ReportStatus.LATE) {
 			return false;
 		}
 		this.peers.updateSender(received);
@@ -177,7 +177,7 @@
 			EventLog.info(GatewayEvents.PEER_HEARD, "gateway", gateway, "from", received.from());
 		}
 		apply(report, received.from().getAddress(), now);
-		return status == Hearing.FIRST && !this.peers.resend(gateway, this.fleet.confirmation(gateway, now));
+		return status == ReportStatus.FIRST && !this.peers.resend(gateway, this.fleet.confirmation(gateway, now));
 	}
 
 	private void apply(GatewayReport report, InetAddress from, long now) {
@@ -188,17 +188,17 @@
 			used.put(use.getOrganisation(), new Use(use.getUnits(), use.getAsked(), report.getFresh()));
 			startedCalls.put(use.getOrganisation(), (long) use.getBegun());
 		});
-		this.quotas.usedByOther(process, used, now);
-		this.servers.othersAt(report.getGateway(), report.getLeaving() ? Map.of() : uses(report));
+		this.quotas.reportReceived(process, used, now);
+		this.servers.recordPeerUse(report.getGateway(), report.getLeaving() ? Map.of() : uses(report));
 		report.getServersList().forEach(this::receiveSegments);
-		this.crashes.heard(report.getGateway(), report.getCrashesList(), now);
+		this.crashes.receive(report.getGateway(), report.getCrashesList(), now);
 		this.tables.receive(report.getTablesList(), new InetSocketAddress(from, report.getAdminPort()), now);
-		this.rollouts.heard(process, report.getRolloutsList(), now);
+		this.rollouts.receive(process, report.getRolloutsList(), now);
 		if (report.getDutyFence() > 0) {
 			this.lease.heldElsewhere(now);
 		}
 		report.getSpeedsList()
-			.forEach((speed) -> this.decisions.dispatcher().model(speed.getService()).adopt(speed.getRatesList()));
+			.forEach((speed) -> this.decisions.dispatcher().model(speed.getService()).adoptCoefficients(speed.getRatesList()));
 		this.usageDuty.receiveCurrentCounts(report.getWindow(), process, startedCalls);
 		report.getUnwrittenList()
 			.forEach((row) -> this.usageDuty.receiveUnwritten(row.getWindow(), row.getRow(),
@@ -213,9 +213,9 @@
 	 * @param now the current time on the monotonic clock, in nanoseconds
 	 */
 	void handleTimeouts(long now) {
-		for (String gateway : this.fleet.fallenSilent(now)) {
+		for (String gateway : this.fleet.timedOut(now)) {
 			EventLog.info(GatewayEvents.PEER_SILENT, "gateway", gateway);
-			this.servers.othersAt(gateway, Map.of());
+			this.servers.recordPeerUse(gateway, Map.of());
 		}
 	}
 
@@ -231,17 +231,17 @@
 		if (count == 0) {
 			return;
 		}
-		List<SharedParts.Part> segments = new ArrayList<>();
+		List<PromptPrefix.Segment> segments = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
-			segments.add(new SharedParts.Part(use.getParts(i), use.getPartTokens(i)));
+			segments.add(new PromptPrefix.Segment(use.getParts(i), use.getPartTokens(i)));
 		}
 		this.servers.find(use.getServer())
-			.ifPresent((server) -> this.servers.othersRead(start(use), segments,
-					this.decisions.memoryTokens(server.service())));
+			.ifPresent((server) -> this.servers.recordPeerPrefill(start(use), segments,
+					this.decisions.kvCacheTokens(server.service())));
 	}
 
-	private static BackendServer.Start start(ServerUse use) {
-		return new BackendServer.Start(use.getServer(), use.getStartedMillis());
+	private static BackendServer.Incarnation start(ServerUse use) {
+		return new BackendServer.Incarnation(use.getServer(), use.getStartedMillis());
 	}
 
 	/**
@@ -250,11 +250,11 @@
 	 * @return the number of tokens
 	 */
 	double prefillTokens() {
-		return this.decisions.readingTokens() + (double) this.otherPrefillTokens;
+		return this.decisions.prefillTokens() + (double) this.otherPrefillTokens;
 	}
 
-	private static Map<BackendServer.Start, BackendUse> uses(GatewayReport report) {
-		Map<BackendServer.Start, BackendUse> uses = new HashMap<>();
+	private static Map<BackendServer.Incarnation, BackendUse> uses(GatewayReport report) {
+		Map<BackendServer.Incarnation, BackendUse> uses = new HashMap<>();
 		report.getServersList()
 			.forEach((use) -> uses.put(start(use), new BackendUse(use.getCalls(), use.getUnreadTokens())));
 		return uses;
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PauseWatch.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PauseDetector.java
@@ -7,7 +7,7 @@
  * last check. The monotonic clock advances while a process is paused but not while its VM
  * is suspended; the time of day advances in both cases.
  */
-final class PauseWatch {
+final class PauseDetector {
 
 	/** Process pauses longer than this are reported, in milliseconds. */
 	private static final long MIN_PAUSE_MILLIS = 700;
@@ -22,7 +22,7 @@
 
 	private long checkedMillis;
 
-	PauseWatch(long nowNanos, long epochMillis) {
+	PauseDetector(long nowNanos, long epochMillis) {
 		this.checkedNanos = nowNanos;
 		this.checkedMillis = epochMillis;
 	}
@@ -33,23 +33,23 @@
 	 * @param epochMillis the time of day, in milliseconds since 1970
 	 * @return what happened since the last check
 	 */
-	Finding look(long nowNanos, long epochMillis) {
+	Observation check(long nowNanos, long epochMillis) {
 		long monotonicMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - this.checkedNanos);
 		long wallClockMillis = epochMillis - this.checkedMillis;
 		this.checkedNanos = nowNanos;
 		this.checkedMillis = epochMillis;
 		if (wallClockMillis - monotonicMillis > MIN_SUSPENSION_MILLIS) {
-			return new Finding.Suspended(wallClockMillis, monotonicMillis);
+			return new Observation.Suspended(wallClockMillis, monotonicMillis);
 		}
 		long millis = Math.max(wallClockMillis, monotonicMillis);
-		return (millis > MIN_PAUSE_MILLIS) ? new Finding.Paused(millis, monotonicMillis) : new Finding.Running();
+		return (millis > MIN_PAUSE_MILLIS) ? new Observation.Paused(millis, monotonicMillis) : new Observation.Running();
 	}
 
 	/** What happened between two checks. */
-	sealed interface Finding {
+	sealed interface Observation {
 
 		/** The process ran without a notable pause. */
-		record Running() implements Finding {
+		record Running() implements Observation {
 		}
 
 		/**
@@ -58,7 +58,7 @@
 		 * @param millis the duration, in milliseconds
 		 * @param monotonicMillis the duration on the monotonic clock, in milliseconds
 		 */
-		record Paused(long millis, long monotonicMillis) implements Finding {
+		record Paused(long millis, long monotonicMillis) implements Observation {
 		}
 
 		/**
@@ -68,7 +68,7 @@
 		 * @param millis the duration, in milliseconds
 		 * @param monotonicMillis the duration on the monotonic clock, in milliseconds
 		 */
-		record Suspended(long millis, long monotonicMillis) implements Finding {
+		record Suspended(long millis, long monotonicMillis) implements Observation {
 		}
 
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PlatformNews.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PlatformUpdates.java
@@ -20,7 +20,7 @@
  * Applies rows of the platform's tables to the configuration, the backend servers and the
  * roll-outs of this gateway.
  */
-final class PlatformNews {
+final class PlatformUpdates {
 
 	private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
@@ -47,7 +47,7 @@
 	/** Called for each row that cannot be decoded. */
 	private final Runnable onUnreadable;
 
-	PlatformNews(RecordCodec records, ControlLoop control, BackendTable servers, GatewayControl decisions,
+	PlatformUpdates(RecordCodec records, ControlLoop control, BackendTable servers, GatewayControl decisions,
 			Rollouts rollouts, Freshness freshness, Runnable startedAgain, Runnable onUnreadable) {
 		this.rollouts = rollouts;
 		this.freshness = freshness;
@@ -76,7 +76,7 @@
 	}
 
 	private void applyConfigurationRow(Row row) {
-		Optional<String> rollout = this.records.rolloutOf(row.key());
+		Optional<String> rollout = this.records.rolloutService(row.key());
 		if (rollout.isPresent()) {
 			this.control.post((now) -> applyRolloutRow(rollout.get(), row, now));
 			return;
@@ -102,7 +102,7 @@
 			return;
 		}
 		try {
-			this.rollouts.ordered(this.records.rollout(service, row.value().get(), row.version()));
+			this.rollouts.ordered(this.records.rolloutOrder(service, row.value().get(), row.version()));
 		}
 		catch (IllegalArgumentException ex) {
 			this.onUnreadable.run();
@@ -122,9 +122,9 @@
 						"leaving", server.leaving(), "sequence", server.sequence(), "rowVersion", row.version());
 				return;
 			}
-			boolean startedAgain = this.servers.isOtherStart(server);
-			boolean changed = this.serversRead ? this.servers.registered(server, now)
-					: this.servers.foundAtStart(server);
+			boolean startedAgain = this.servers.isRestart(server);
+			boolean changed = this.serversRead ? this.servers.recordRegistration(server, now)
+					: this.servers.recordExistingRegistration(server);
 			if (changed) {
 				EventLog.info(GatewayEvents.SERVER_REGISTERED, "server", server.id(), "started", server.startedMillis(),
 						"startedAgain", startedAgain, "service", server.service(), "address", server.address(), "zone",
@@ -136,7 +136,7 @@
 			}
 		}
 		catch (IllegalArgumentException ex) {
-			this.servers.unreadable(row.key());
+			this.servers.recordInvalidRegistration(row.key());
 			this.onUnreadable.run();
 			EventLog.warn(GatewayEvents.SERVER_UNREADABLE, "server", row.key(), "bytes", row.value().get().length,
 					"cause", ex.getMessage(), "rowVersion", row.version());
@@ -146,8 +146,8 @@
 	// Registrations expire during an outage of the store, including those of live
 	// servers.
 	private void registrationExpired(String id, long now) {
-		OptionalLong returned = this.freshness.returnedNanos();
-		long keptNanos = this.servers.lapsed(id, now, returned);
+		OptionalLong returned = this.freshness.outageEndNanos();
+		long keptNanos = this.servers.recordLapse(id, now, returned);
 		EventLog.info(GatewayEvents.SERVER_LAPSED, "server", id, "storeBackMillis",
 				returned.isPresent() ? (now - returned.getAsLong()) / NANOS_PER_MILLI : "never", "keptMillis",
 				keptNanos / NANOS_PER_MILLI);
@@ -162,20 +162,20 @@
 			.filter((id) -> !present.contains(id))
 			.forEach((id) -> registrationExpired(id, now));
 		rows.forEach((row) -> applyServerRow(row, now));
-		this.decisions.serversSeen(version, now);
+		this.decisions.serversUpdated(version, now);
 		this.serversRead = true;
 	}
 
 	private final class ConfigurationListener implements TableWatch.Listener {
 
 		@Override
-		public void all(List<Row> rows, long version) {
-			changed(rows, version);
+		public void tableRead(List<Row> rows, long version) {
+			rowsChanged(rows, version);
 		}
 
 		@Override
-		public void changed(List<Row> rows, long version) {
-			rows.forEach(PlatformNews.this::applyConfigurationRow);
+		public void rowsChanged(List<Row> rows, long version) {
+			rows.forEach(PlatformUpdates.this::applyConfigurationRow);
 		}
 
 	}
@@ -183,15 +183,15 @@
 	private final class ServerListener implements TableWatch.Listener {
 
 		@Override
-		public void all(List<Row> rows, long version) {
-			PlatformNews.this.control.post((now) -> replaceServers(rows, version, now));
+		public void tableRead(List<Row> rows, long version) {
+			PlatformUpdates.this.control.post((now) -> replaceServers(rows, version, now));
 		}
 
 		@Override
-		public void changed(List<Row> rows, long version) {
-			PlatformNews.this.control.post((now) -> {
+		public void rowsChanged(List<Row> rows, long version) {
+			PlatformUpdates.this.control.post((now) -> {
 				rows.forEach((row) -> applyServerRow(row, now));
-				PlatformNews.this.decisions.serversSeen(version, now);
+				PlatformUpdates.this.decisions.serversUpdated(version, now);
 			});
 		}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/QuarantineProbes.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/QuarantineProbes.java
@@ -129,7 +129,7 @@
 	 */
 	void granted(RequestDigest request, String holder) {
 		this.holders.put(request, holder);
-		this.table.trial(request, true);
+		this.table.setProbeGranted(request, true);
 		this.onChange.accept(request);
 		giveBackUnused(request);
 	}
@@ -140,7 +140,7 @@
 	 */
 	void rowRemoved(RequestDigest request) {
 		if (this.holders.remove(request) != null) {
-			this.table.trial(request, false);
+			this.table.setProbeGranted(request, false);
 			this.onChange.accept(request);
 		}
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RolloutDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RolloutDuty.java
@@ -67,7 +67,7 @@
 	}
 
 	/** Drops the cached state, because another process may write the rows from now on. */
-	void pause() {
+	void reset() {
 		this.cache.clear();
 	}
 
@@ -76,11 +76,11 @@
 	 * @param epochMillis the time of day, in milliseconds since 1970
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void act(long epochMillis, long nowNanos) {
+	void advance(long epochMillis, long nowNanos) {
 		this.rollouts.table().all().forEach((rollout) -> {
 			CachedRows cached = this.cache.computeIfAbsent(rollout.order().service(), (_) -> new CachedRows());
 			if (!cached.requestInProgress) {
-				act(cached, rollout, epochMillis, nowNanos);
+				advance(cached, rollout, epochMillis, nowNanos);
 			}
 		});
 	}
@@ -94,19 +94,19 @@
 		return Optional.ofNullable(this.cache.get(service)).flatMap((cached) -> cached.state).map(State::phase);
 	}
 
-	private void act(CachedRows cached, Rollout rollout, long epochMillis, long nowNanos) {
+	private void advance(CachedRows cached, Rollout rollout, long epochMillis, long nowNanos) {
 		RolloutOrder order = rollout.order();
 		if (!cached.loaded) {
 			load(cached, order.service());
 			return;
 		}
 		if (cached.state.filter((state) -> state.belongsTo(order)).isEmpty()) {
-			write(cached, rollout, new State(order.to(), order.number(), epochMillis, Phase.TRIAL));
+			write(cached, rollout, new State(order.targetVersion(), order.number(), epochMillis, Phase.TRIAL));
 			return;
 		}
 		State state = cached.state.orElseThrow();
 		Optional<Phase> next = nextPhase(rollout, state, epochMillis);
-		rollout.said(state.phase(), nowNanos);
+		rollout.phaseAnnounced(state.phase(), nowNanos);
 		if (next.isPresent()) {
 			write(cached, rollout, state.with(next.get()));
 		}
@@ -116,7 +116,7 @@
 	}
 
 	private Optional<Phase> nextPhase(Rollout rollout, State state, long epochMillis) {
-		boolean withdrawn = rollout.phase() == Phase.ROLLED_BACK && state.phase().leadsTo(Phase.ROLLED_BACK);
+		boolean withdrawn = rollout.phase() == Phase.ROLLED_BACK && state.phase().canAdvanceTo(Phase.ROLLED_BACK);
 		if (withdrawn) {
 			return Optional.of(Phase.ROLLED_BACK);
 		}
@@ -125,23 +125,23 @@
 	}
 
 	private void logPhase(Rollout rollout, State state) {
-		RolloutPlan.Servers counts = serverCounts(rollout);
+		RolloutPlan.ServerCounts counts = serverCounts(rollout);
 		EventLog.info(GatewayEvents.ROLLOUT_PHASE, "service", rollout.order().service(), "to", state.to(), "number",
 				state.number(), "phase", state.phase(), "verdict", rollout.verdict(), "sinceMillis",
 				System.currentTimeMillis() - state.sinceMillis(), "durationMillis", rollout.order().durationMillis(),
-				"freshServers", counts.fresh(), "oldServers", counts.old(), "oldCalls", counts.oldCalls());
+				"freshServers", counts.candidate(), "oldServers", counts.baseline(), "oldCalls", counts.baselineCalls());
 	}
 
-	private RolloutPlan.Servers serverCounts(Rollout rollout) {
+	private RolloutPlan.ServerCounts serverCounts(Rollout rollout) {
 		String service = rollout.order().service();
 		List<BackendServer> staying = this.servers.serversOf(service)
 			.stream()
 			.filter((server) -> !server.leaving())
 			.toList();
-		int candidates = (int) staying.stream().filter(rollout::isFresh).count();
+		int candidates = (int) staying.stream().filter(rollout::isCandidate).count();
 		int baselineCalls = this.servers
-			.callsAt((server) -> server.service().equals(service) && !rollout.isFresh(server));
-		return new RolloutPlan.Servers(candidates, staying.size() - candidates, baselineCalls);
+			.callsAt((server) -> server.service().equals(service) && !rollout.isCandidate(server));
+		return new RolloutPlan.ServerCounts(candidates, staying.size() - candidates, baselineCalls);
 	}
 
 	// -- the state row
@@ -194,7 +194,7 @@
 			return;
 		}
 		cached.requestInProgress = true;
-		RecordCodec.Place place = this.records.rolloutState(service);
+		RecordCodec.RowLocation place = this.records.rolloutState(service);
 		this.store.read(new Range(place.table(), place.key(), place.key() + '\0')).flatMap((page) -> {
 			long version = page.rows().stream().findFirst().map(Row::version).orElse(0L);
 			return this.store.commit(new Commit(place.table(), List.of(new Condition(place.key(), version)),
@@ -242,7 +242,7 @@
 	private record State(String to, long number, long sinceMillis, Phase phase) {
 
 		private boolean belongsTo(RolloutOrder order) {
-			return this.to.equals(order.to()) && (this.number == order.number() || !this.phase.isFinal());
+			return this.to.equals(order.targetVersion()) && (this.number == order.number() || !this.phase.isFinal());
 		}
 
 		private State with(Phase next) {
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/Rollouts.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/Rollouts.java
@@ -13,14 +13,14 @@
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.gateway.proto.RolloutNews;
 import org.rosemaryfront.gateway.proto.RolloutTally;
-import org.rosemaryfront.rollout.LatencyReference;
+import org.rosemaryfront.rollout.LatencyBaseline;
 import org.rosemaryfront.rollout.Phase;
 import org.rosemaryfront.rollout.Rollout;
 import org.rosemaryfront.rollout.RolloutOrder;
 import org.rosemaryfront.rollout.RolloutTable;
 import org.rosemaryfront.rollout.Tally;
 import org.rosemaryfront.rollout.Tally.Counts;
-import org.rosemaryfront.rollout.Versions;
+import org.rosemaryfront.rollout.VersionRule;
 
 /**
  * The roll-outs that this gateway has received: which servers calls may go to during a
@@ -38,7 +38,7 @@
 	/** The name of this gateway process, unique to this start. */
 	private final String ownProcess;
 
-	private final Map<String, LatencyReference> references = new HashMap<>();
+	private final Map<String, LatencyBaseline> references = new HashMap<>();
 
 	Rollouts(RolloutTable table, BackendTable servers, String ownProcess, DoubleSupplier random) {
 		this.table = table;
@@ -50,9 +50,9 @@
 	// -- orders
 
 	void ordered(RolloutOrder order) {
-		if (this.table.ordered(order)) {
-			this.references.put(order.service(), LatencyReference.empty());
-			EventLog.info(GatewayEvents.ROLLOUT_ORDERED, "service", order.service(), "to", order.to(), "durationMillis",
+		if (this.table.addOrder(order)) {
+			this.references.put(order.service(), LatencyBaseline.empty());
+			EventLog.info(GatewayEvents.ROLLOUT_ORDERED, "service", order.service(), "to", order.targetVersion(), "durationMillis",
 					order.durationMillis(), "number", order.number());
 		}
 	}
@@ -61,9 +61,9 @@
 	// calls.
 	void withdrawn(String service, long nowNanos) {
 		this.table.find(service)
-			.filter((rollout) -> rollout.said(Phase.ROLLED_BACK, nowNanos))
+			.filter((rollout) -> rollout.phaseAnnounced(Phase.ROLLED_BACK, nowNanos))
 			.ifPresent((rollout) -> EventLog.info(GatewayEvents.ROLLOUT_WITHDRAWN, "service", service, "to",
-					rollout.order().to(), "number", rollout.order().number()));
+					rollout.order().targetVersion(), "number", rollout.order().number()));
 	}
 
 	void unreadable(String service, long rowVersion, IllegalArgumentException cause) {
@@ -80,11 +80,11 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the rules in the order in which they are tried
 	 */
-	List<Versions> versions(String service, boolean retry, long nowNanos) {
+	List<VersionRule> versions(String service, boolean retry, long nowNanos) {
 		return this.table.find(service)
-			.map((rollout) -> rollout.versions(this.servers.serversOf(service), retry, this.random.getAsDouble(),
+			.map((rollout) -> rollout.versionRules(this.servers.serversOf(service), retry, this.random.getAsDouble(),
 					nowNanos))
-			.orElse(List.of(Versions.any()));
+			.orElse(List.of(VersionRule.any()));
 	}
 
 	/**
@@ -95,10 +95,10 @@
 	 * @param ratio the ratio of measured to expected time, each plus one millisecond,
 	 * with 0 expected where there was no expectation
 	 */
-	void began(String service, String route, BackendServer.Start server, double ratio) {
+	void began(String service, String route, BackendServer.Incarnation server, double ratio) {
 		inProgress(service).ifPresent((rollout) -> this.servers.find(server.id()).ifPresent((known) -> {
-			boolean candidate = rollout.isFresh(known);
-			rollout.ended(route, candidate, this.references.get(service).isSlow(route, candidate, ratio));
+			boolean candidate = rollout.isCandidate(known);
+			rollout.recordCall(route, candidate, this.references.get(service).recordCall(route, candidate, ratio));
 		}));
 	}
 
@@ -109,7 +109,7 @@
 	 * @param server the server
 	 */
 	void failed(String service, String route, BackendServer server) {
-		inProgress(service).ifPresent((rollout) -> rollout.ended(route, rollout.isFresh(server), true));
+		inProgress(service).ifPresent((rollout) -> rollout.recordCall(route, rollout.isCandidate(server), true));
 	}
 
 	private Optional<Rollout> inProgress(String service) {
@@ -122,10 +122,10 @@
 	 * @return false if the calls of the service have not been moved to the server's
 	 * version
 	 */
-	boolean counts(BackendServer server) {
+	boolean countsTowardsCapacity(BackendServer server) {
 		return this.table.find(server.service()).map((rollout) -> {
-			boolean all = this.servers.serversOf(server.service()).stream().allMatch(rollout::isFresh);
-			return all || rollout.counts(server);
+			boolean all = this.servers.serversOf(server.service()).stream().allMatch(rollout::isCandidate);
+			return all || rollout.countsTowardsCapacity(server);
 		}).orElse(true);
 	}
 
@@ -142,35 +142,35 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the updates
 	 */
-	List<RolloutNews> news(Function<String, Optional<Phase>> phases, long nowNanos) {
+	List<RolloutNews> updates(Function<String, Optional<Phase>> phases, long nowNanos) {
 		List<RolloutNews> updates = new ArrayList<>();
 		this.table.all().forEach((rollout) -> {
-			rollout.counted(this.ownProcess, rollout.own(), nowNanos);
+			rollout.recordReport(this.ownProcess, rollout.ownTallies(), nowNanos);
 			Optional<Phase> phase = phases.apply(rollout.order().service());
 			if (phase.isPresent() || !rollout.phase().isFinal()) {
-				updates.add(news(rollout, phase));
+				updates.add(updates(rollout, phase));
 			}
 		});
 		return updates;
 	}
 
-	private static RolloutNews news(Rollout rollout, Optional<Phase> phase) {
+	private static RolloutNews updates(Rollout rollout, Optional<Phase> phase) {
 		RolloutOrder order = rollout.order();
 		RolloutNews.Builder update = RolloutNews.newBuilder()
 			.setService(order.service())
-			.setTo(order.to())
+			.setTo(order.targetVersion())
 			.setDurationMillis(order.durationMillis())
 			.setNumber(order.number())
 			.setPhase(phase.map((known) -> known.ordinal() + 1).orElse(0));
 		if (!rollout.phase().isFinal()) {
-			rollout.own()
+			rollout.ownTallies()
 				.forEach((route,
 						tally) -> update.addTallies(RolloutTally.newBuilder()
 							.setRoute(route)
-							.setFreshCalls(tally.fresh().calls())
-							.setFreshBad(tally.fresh().bad())
-							.setOldCalls(tally.old().calls())
-							.setOldBad(tally.old().bad())));
+							.setFreshCalls(tally.candidate().calls())
+							.setFreshBad(tally.candidate().failing())
+							.setOldCalls(tally.baseline().calls())
+							.setOldBad(tally.baseline().failing())));
 		}
 		return update.build();
 	}
@@ -181,23 +181,23 @@
 	 * @param updates the updates
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void heard(String process, List<RolloutNews> updates, long nowNanos) {
-		updates.forEach((update) -> heard(process, update, nowNanos));
+	void receive(String process, List<RolloutNews> updates, long nowNanos) {
+		updates.forEach((update) -> receive(process, update, nowNanos));
 	}
 
 	// A gateway whose requests the store rejects also learns of the order this way.
-	private void heard(String process, RolloutNews update, long nowNanos) {
+	private void receive(String process, RolloutNews update, long nowNanos) {
 		ordered(new RolloutOrder(update.getService(), update.getTo(), update.getDurationMillis(), update.getNumber()));
 		Rollout rollout = this.table.find(update.getService()).orElseThrow();
-		if (!rollout.order().to().equals(update.getTo()) || update.getNumber() < rollout.order().number()) {
+		if (!rollout.order().targetVersion().equals(update.getTo()) || update.getNumber() < rollout.order().number()) {
 			return;
 		}
 		if (update.getNumber() == rollout.order().number()) {
-			rollout.counted(process, tallies(update), nowNanos);
+			rollout.recordReport(process, tallies(update), nowNanos);
 		}
 		int phase = update.getPhase() - 1;
 		if (phase >= 0 && phase < Phase.values().length) {
-			rollout.said(Phase.values()[phase], nowNanos);
+			rollout.phaseAnnounced(Phase.values()[phase], nowNanos);
 		}
 	}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SharedTables.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SharedTables.java
@@ -61,7 +61,7 @@
 	 * @param limits the limits of how old the local copy may become
 	 * @param listener receives the rows
 	 */
-	void follow(String table, FollowedTable replica, FreshnessLimits limits, TableWatch.Listener listener) {
+	void follow(String table, TableReplica replica, FreshnessLimits limits, TableWatch.Listener listener) {
 		TableWatch watch = TableWatch.of(this.store, table, replica, this.peers, limits, new ChangeRecorder(listener));
 		this.watches.put(table, watch);
 		watch.tick(this.role, System.nanoTime());
@@ -154,7 +154,7 @@
 	}
 
 	private static List<TableRow> encode(List<Row> changes, long version) {
-		return changes.stream().filter((row) -> row.version() <= version).map(FollowedTable::encode).toList();
+		return changes.stream().filter((row) -> row.version() <= version).map(TableReplica::encode).toList();
 	}
 
 	private static boolean fitsReport(List<TableRow> rows) {
@@ -204,15 +204,15 @@
 		}
 
 		@Override
-		public void all(List<Row> rows, long version) {
+		public void tableRead(List<Row> rows, long version) {
 			SharedTables.this.changed = true;
-			this.listener.all(rows, version);
+			this.listener.tableRead(rows, version);
 		}
 
 		@Override
-		public void changed(List<Row> rows, long version) {
+		public void rowsChanged(List<Row> rows, long version) {
 			SharedTables.this.changed = true;
-			this.listener.changed(rows, version);
+			this.listener.rowsChanged(rows, version);
 		}
 
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SizeDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SizeDuty.java
@@ -12,11 +12,11 @@
 
 import org.rosemaryfront.dispatch.BackendServer;
 import org.rosemaryfront.dispatch.BackendTable;
-import org.rosemaryfront.duties.Size;
-import org.rosemaryfront.duties.SizeOrders;
-import org.rosemaryfront.duties.SizePlan;
-import org.rosemaryfront.duties.SizePlan.Demand;
-import org.rosemaryfront.duties.SizePlan.ZoneSize;
+import org.rosemaryfront.duties.PoolSize;
+import org.rosemaryfront.duties.ScalingOrders;
+import org.rosemaryfront.duties.CapacityPlanner;
+import org.rosemaryfront.duties.CapacityPlanner.Demand;
+import org.rosemaryfront.duties.CapacityPlanner.ZoneSize;
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.ports.Duties;
 import org.rosemaryfront.ports.StoreException;
@@ -58,12 +58,12 @@
 
 	private final Runnable onFenced;
 
-	private final Map<String, SizePlan> planners = new HashMap<>();
+	private final Map<String, CapacityPlanner> planners = new HashMap<>();
 
 	/** The newest plan by service. */
-	private final Map<String, SizePlan.Plan> newestPlans = new HashMap<>();
+	private final Map<String, CapacityPlanner.Plan> newestPlans = new HashMap<>();
 
-	private final SizeOrders orders = new SizeOrders();
+	private final ScalingOrders orders = new ScalingOrders();
 
 	/** The servers seen when orders were last derived, by service. */
 	private final Map<String, Map<String, ZoneSize>> lastPresent = new HashMap<>();
@@ -137,7 +137,7 @@
 	}
 
 	private void act(long fence, ServiceSpec service, boolean due, long now) {
-		SizePlan.Plan plan = this.newestPlans.get(service.name());
+		CapacityPlanner.Plan plan = this.newestPlans.get(service.name());
 		if (plan == null) {
 			this.zones.forEach((zone) -> orderInitial(fence, service, zone, now));
 			return;
@@ -145,7 +145,7 @@
 		Map<String, ZoneSize> current = presentServers(service.name());
 		boolean changed = !current.equals(this.lastPresent.put(service.name(), current));
 		if (due || changed) {
-			this.orders.next(service, plan, current, now).forEach((size) -> order(fence, size));
+			this.orders.nextOrders(service, plan, current, now).forEach((size) -> order(fence, size));
 		}
 	}
 
@@ -182,14 +182,14 @@
 		return settled;
 	}
 
-	private SizePlan.Plan plan(ServiceSpec service, long now) {
+	private CapacityPlanner.Plan plan(ServiceSpec service, long now) {
 		Map<String, Double> prices = service.scaling().orElseThrow().zonePrices();
 		List<String> cheapestFirst = this.zones.stream()
 			.sorted(Comparator.comparingDouble((zone) -> prices.getOrDefault(zone, 1.0)))
 			.toList();
 		Demand demand = new Demand(this.tokensPerSecond, 1_000 * this.tokensPerMilli.applyAsDouble(service.name()),
 				this.servers.callsOf(service.name()), onDemandCount(presentServers(service.name()).values()));
-		return this.planners.computeIfAbsent(service.name(), (_) -> new SizePlan())
+		return this.planners.computeIfAbsent(service.name(), (_) -> new CapacityPlanner())
 			.plan(service, cheapestFirst, demand, now);
 	}
 
@@ -199,25 +199,25 @@
 		ServiceSpec.ScalingSpec bounds = service.scaling().orElseThrow();
 		if (presentServers(service.name()).get(zone).reclaimable() == 0) {
 			int servers = Math.clamp(INITIAL_RECLAIMABLE, bounds.min(), bounds.max());
-			this.orders.order(service, new Size(service.name(), zone, servers, true), 0, now)
+			this.orders.nextOrder(service, new PoolSize(service.name(), zone, servers, true), 0, now)
 				.ifPresent((size) -> order(fence, size));
 		}
 	}
 
-	private void order(long fence, Size size) {
+	private void order(long fence, PoolSize size) {
 		ZoneSize current = presentServers(size.service()).get(size.zone());
 		EventLog.info(GatewayEvents.SIZE_ORDERED, "service", size.service(), "zone", size.zone(), "servers",
 				size.servers(), "reclaimable", size.reclaimable(), "present",
-				size.reclaimable() ? current.reclaimable() : current.lasting(), "tokensPerSecond",
+				size.reclaimable() ? current.reclaimable() : current.onDemand(), "tokensPerSecond",
 				Math.round(this.tokensPerSecond), "serverTokensPerMilli",
 				Math.round(this.tokensPerMilli.applyAsDouble(size.service())), "calls",
 				this.servers.callsOf(size.service()), "fence", fence);
 		this.duties.resize(fence, size).subscribe((_) -> {
 		}, (failure) -> this.control.accept(() -> failed(size, failure)),
-				() -> this.control.accept(() -> this.orders.taken(size)));
+				() -> this.control.accept(() -> this.orders.recordAccepted(size)));
 	}
 
-	private void failed(Size size, Throwable failure) {
+	private void failed(PoolSize size, Throwable failure) {
 		EventLog.info(GatewayEvents.SIZE_NOT_ORDERED, "service", size.service(), "zone", size.zone(), "servers",
 				size.servers(), "reclaimable", size.reclaimable(), "cause", failure.getMessage());
 		if (failure instanceof StoreException ex && ex.reason() == StoreException.Reason.FENCED) {
@@ -225,7 +225,7 @@
 		}
 		boolean noneAvailable = failure instanceof StoreException ex
 				&& ex.reason() == StoreException.Reason.NONE_AVAILABLE;
-		this.orders.failed(size, noneAvailable, System.nanoTime());
+		this.orders.recordFailure(size, noneAvailable, System.nanoTime());
 		if (noneAvailable) {
 			this.replacementPending = true;
 		}
@@ -243,12 +243,12 @@
 	}
 
 	private static int onDemandCount(Collection<ZoneSize> current) {
-		return current.stream().mapToInt(ZoneSize::lasting).sum();
+		return current.stream().mapToInt(ZoneSize::onDemand).sum();
 	}
 
 	private static ZoneSize add(ZoneSize current, BackendServer server) {
-		return server.reclaimable() ? new ZoneSize(current.lasting(), current.reclaimable() + 1)
-				: new ZoneSize(current.lasting() + 1, current.reclaimable());
+		return server.reclaimable() ? new ZoneSize(current.onDemand(), current.reclaimable() + 1)
+				: new ZoneSize(current.onDemand() + 1, current.reclaimable());
 	}
 
 	/**
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/FollowedTable.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/TableReplica.java
@@ -16,7 +16,7 @@
 import org.rosemaryfront.tables.Freshness;
 
 /** The local copy of a table's rows. Thread-safe. */
-final class FollowedTable {
+final class TableReplica {
 
 	/** The number of recent changes that are retained. */
 	private static final int MAX_RECENT_CHANGES = 64;
@@ -37,7 +37,7 @@
 	 * Creates an empty copy, at version 0.
 	 * @param freshness records how old the copy is
 	 */
-	FollowedTable(Freshness freshness) {
+	TableReplica(Freshness freshness) {
 		this.freshness = freshness;
 	}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/TableWatch.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/TableWatch.java
@@ -24,11 +24,11 @@
 import org.rosemaryfront.ports.RowStore.Row;
 import org.rosemaryfront.ports.StoreException;
 import org.rosemaryfront.tables.FreshnessLimits;
-import org.rosemaryfront.tables.Question;
-import org.rosemaryfront.tables.Question.Asked;
+import org.rosemaryfront.tables.TableQuery;
+import org.rosemaryfront.tables.TableQuery.Sent;
 import org.rosemaryfront.tables.Role;
 import org.rosemaryfront.tables.TableFollower;
-import org.rosemaryfront.tables.TableFollower.Answer;
+import org.rosemaryfront.tables.TableFollower.Response;
 
 /**
  * Follows one table: sends the queries that {@link TableFollower} requests to the store
@@ -48,14 +48,14 @@
 
 	private final Listener listener;
 
-	private final FollowedTable replica;
+	private final TableReplica replica;
 
 	private final PeerTables peers;
 
 	private final TableFollower follower;
 
 	/** The outstanding requests to the store. */
-	private final Map<Asked, Disposable> outstanding = new HashMap<>();
+	private final Map<Sent, Disposable> outstanding = new HashMap<>();
 
 	private boolean closed;
 
@@ -71,7 +71,7 @@
 	 */
 	private OptionalLong ownChangeNanos = OptionalLong.empty();
 
-	private TableWatch(RowStore store, String table, FollowedTable replica, PeerTables peers, FreshnessLimits limits,
+	private TableWatch(RowStore store, String table, TableReplica replica, PeerTables peers, FreshnessLimits limits,
 			Listener listener) {
 		this.store = store;
 		this.table = table;
@@ -91,7 +91,7 @@
 	 * @param listener receives the rows
 	 * @return the watch
 	 */
-	static TableWatch of(RowStore store, String table, FollowedTable replica, PeerTables peers, FreshnessLimits limits,
+	static TableWatch of(RowStore store, String table, TableReplica replica, PeerTables peers, FreshnessLimits limits,
 			Listener listener) {
 		return new TableWatch(store, table, replica, peers, limits, listener);
 	}
@@ -111,7 +111,7 @@
 		dueQueries(role, nowNanos).forEach(this::send);
 	}
 
-	private synchronized List<Asked> dueQueries(Role role, long nowNanos) {
+	private synchronized List<Sent> dueQueries(Role role, long nowNanos) {
 		return this.closed ? List.of() : this.follower.tick(role, nowNanos);
 	}
 
@@ -129,9 +129,9 @@
 		this.newerPeer = complete ? this.newerPeer : Optional.of(tablesAddress);
 		Optional<Long> confirmed = (update.getProvenMillis() == 0) ? Optional.empty()
 				: Optional.of(nowNanos - TimeUnit.MILLISECONDS.toNanos(update.getProvenMillis()));
-		this.follower.told(update.getVersion(), complete, confirmed, nowNanos);
+		this.follower.reportReceived(update.getVersion(), complete, confirmed, nowNanos);
 		if (contiguous) {
-			apply(FollowedTable.decode(update.getRowsList()), update.getVersion());
+			apply(TableReplica.decode(update.getRowsList()), update.getVersion());
 		}
 	}
 
@@ -141,7 +141,7 @@
 	 * nanoseconds
 	 */
 	synchronized void paused(long nowNanos) {
-		this.follower.paused(nowNanos);
+		this.follower.resumedAfterPause(nowNanos);
 	}
 
 	/**
@@ -176,7 +176,7 @@
 		return foundRecently || this.follower.isReading(nowNanos);
 	}
 
-	FollowedTable replica() {
+	TableReplica replica() {
 		return this.replica;
 	}
 
@@ -186,13 +186,13 @@
 
 	// -- queries
 
-	private void send(Asked sent) {
-		switch (sent.question()) {
-			case Question.Whole _ -> execute(sent, readPages("", new ArrayList<>(), OptionalLong.empty()));
-			case Question.Feed feed ->
+	private void send(Sent sent) {
+		switch (sent.query()) {
+			case TableQuery.FullTable _ -> execute(sent, readPages("", new ArrayList<>(), OptionalLong.empty()));
+			case TableQuery.Feed feed ->
 				execute(sent, this.store.changes(this.table, feed.since(), Duration.ofNanos(feed.waitNanos())));
-			case Question.Check check -> execute(sent, this.store.changes(this.table, check.since(), Duration.ZERO));
-			case Question.OfGateway gateway -> queryPeer(gateway.known());
+			case TableQuery.Check check -> execute(sent, this.store.changes(this.table, check.since(), Duration.ZERO));
+			case TableQuery.FromGateway gateway -> queryPeer(gateway.version());
 		}
 	}
 
@@ -202,7 +202,7 @@
 		return this.store.read(new Range(this.table, from, "")).flatMap((page) -> {
 			collected.addAll(page.rows());
 			long version = firstVersion.orElse(page.version());
-			if (!page.more()) {
+			if (!page.hasMore()) {
 				return Mono.just(new Page(collected, false, version));
 			}
 			// The smallest key after the last one.
@@ -210,7 +210,7 @@
 		});
 	}
 
-	private void execute(Asked sent, Mono<Page> response) {
+	private void execute(Sent sent, Mono<Page> response) {
 		Disposable.Swap handle = Disposables.swap();
 		synchronized (this) {
 			this.outstanding.put(sent, handle);
@@ -219,19 +219,19 @@
 				response.subscribe((page) -> handleResponse(sent, page), (failure) -> handleFailure(sent, failure)));
 	}
 
-	private synchronized void handleResponse(Asked sent, Page page) {
+	private synchronized void handleResponse(Sent sent, Page page) {
 		this.outstanding.remove(sent);
 		if (this.closed) {
 			return;
 		}
-		Answer result = this.follower.answered(sent, page.version(), !page.rows().isEmpty(), System.nanoTime());
+		Response result = this.follower.responseReceived(sent, page.version(), !page.rows().isEmpty(), System.nanoTime());
 		logRecovery(result.failuresBefore());
-		logOutdated(result.older(), page.version());
+		logOutdated(result.outdated(), page.version());
 		result.lostFeed().ifPresent(this::abandonFeed);
-		if (result.firstHand()) {
+		if (result.unreported()) {
 			this.ownChangeNanos = OptionalLong.of(System.nanoTime());
 		}
-		if (sent.question() instanceof Question.Whole) {
+		if (sent.query() instanceof TableQuery.FullTable) {
 			replace(page.rows(), page.version());
 		}
 		else {
@@ -239,7 +239,7 @@
 		}
 	}
 
-	private void abandonFeed(Asked feed) {
+	private void abandonFeed(Sent feed) {
 		EventLog.warn(GatewayEvents.FEED_LOST, "table", this.table, "since", this.replica.version(), "waitedMillis",
 				TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - feed.sentNanos()));
 		Optional.ofNullable(this.outstanding.remove(feed)).ifPresent(Disposable::dispose);
@@ -258,18 +258,18 @@
 		}
 	}
 
-	private void handleFailure(Asked sent, Throwable failure) {
+	private void handleFailure(Sent sent, Throwable failure) {
 		recordFailure(sent, failure).ifPresent(this::send);
 	}
 
-	private synchronized Optional<Asked> recordFailure(Asked sent, Throwable failure) {
+	private synchronized Optional<Sent> recordFailure(Sent sent, Throwable failure) {
 		this.outstanding.remove(sent);
 		if (this.closed) {
 			return Optional.empty();
 		}
 		boolean historyLost = failure instanceof StoreException ex && ex.reason() == StoreException.Reason.HISTORY_LOST;
 		boolean wasFailing = this.follower.isFailing();
-		Optional<Asked> next = this.follower.failed(sent, historyLost, System.nanoTime());
+		Optional<Sent> next = this.follower.queryFailed(sent, historyLost, System.nanoTime());
 		if (historyLost) {
 			EventLog.info(GatewayEvents.TABLE_READ_ANEW, "table", this.table);
 		}
@@ -294,11 +294,11 @@
 	}
 
 	private synchronized void applyPeerTable(TableRows newer) {
-		List<Row> rows = FollowedTable.decode(newer.getRowsList());
+		List<Row> rows = TableReplica.decode(newer.getRowsList());
 		EventLog.info(GatewayEvents.TABLE_FROM_PEER, "table", this.table, "version", newer.getVersion(), "before",
 				this.replica.version(), "rows", rows.size());
 		if (replace(rows, newer.getVersion())) {
-			this.follower.told(newer.getVersion(), true, Optional.empty(), System.nanoTime());
+			this.follower.reportReceived(newer.getVersion(), true, Optional.empty(), System.nanoTime());
 		}
 	}
 
@@ -308,7 +308,7 @@
 	private void apply(List<Row> rows, long version) {
 		List<Row> update = this.replica.apply(rows, version);
 		if (!update.isEmpty()) {
-			this.listener.changed(update, version);
+			this.listener.rowsChanged(update, version);
 		}
 	}
 
@@ -317,7 +317,7 @@
 	private boolean replace(List<Row> rows, long version) {
 		boolean replaced = this.replica.replace(rows, version);
 		if (replaced) {
-			this.listener.all(rows, version);
+			this.listener.tableRead(rows, version);
 		}
 		return replaced;
 	}
@@ -330,14 +330,14 @@
 		 * @param rows all rows
 		 * @param version the version of the store at the time of the read
 		 */
-		void all(List<Row> rows, long version);
+		void tableRead(List<Row> rows, long version);
 
 		/**
 		 * Called after rows have changed.
 		 * @param rows the changed rows, in order
 		 * @param version the version up to which the changes are complete
 		 */
-		void changed(List<Row> rows, long version);
+		void rowsChanged(List<Row> rows, long version);
 
 	}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/UsageDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/UsageDuty.java
@@ -15,7 +15,7 @@
 import com.fasterxml.jackson.core.type.TypeReference;
 import reactor.core.publisher.Mono;
 
-import org.rosemaryfront.duties.HeardUsage;
+import org.rosemaryfront.duties.ReceivedUsage;
 import org.rosemaryfront.duties.UsageLedger.Window;
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.ports.Duties;
@@ -90,7 +90,7 @@
 	/** Rows of this gateway that are not confirmed as written, by key. */
 	private final Map<String, UnwrittenRow> unwritten = new TreeMap<>();
 
-	private final HeardUsage receivedUsage = new HeardUsage();
+	private final ReceivedUsage receivedUsage = new ReceivedUsage();
 
 	private final Set<String> writing = new HashSet<>();
 
@@ -187,8 +187,8 @@
 	 * @param counts the calls by organisation
 	 */
 	void receiveCurrentCounts(long window, String process, Map<String, Long> counts) {
-		this.receivedUsage.underWay(window, process, counts);
-		this.receivedUsage.forgetBefore(window - retainedWindows());
+		this.receivedUsage.recordCurrentCounts(window, process, counts);
+		this.receivedUsage.removeBefore(window - retainedWindows());
 	}
 
 	/**
@@ -198,7 +198,7 @@
 	 * @param counts the value of the row
 	 */
 	void receiveUnwritten(long window, String row, byte[] counts) {
-		decode(key(window, row), counts).ifPresent((read) -> this.receivedUsage.unwritten(window, row, read));
+		decode(key(window, row), counts).ifPresent((read) -> this.receivedUsage.recordUnwrittenRow(window, row, read));
 	}
 
 	// -- reporting
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/CallCodec.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/CallCodec.java
@@ -13,16 +13,16 @@
 	 * @param headers the headers of the request
 	 * @return the metadata; a value that cannot be parsed is treated as absent
 	 */
-	CallTerms terms(HttpHeaders headers);
+	CallMetadata callMetadata(HttpHeaders headers);
 
 	/**
 	 * Converts the caller's headers into those sent to a backend server: removes the
 	 * caller's key and all headers that only the gateway may set, then sets the gateway's
 	 * own.
 	 * @param headers a copy of the caller's headers, changed in place
-	 * @param handover the values that the gateway sets
+	 * @param metadata the values that the gateway sets
 	 */
-	void handOver(HttpHeaders headers, Handover handover);
+	void toServerHeaders(HttpHeaders headers, ForwardingMetadata metadata);
 
 	/**
 	 * Reads the metadata of a backend server's response.
@@ -30,12 +30,12 @@
 	 * @param headers the headers of the response
 	 * @return the metadata
 	 */
-	AnswerTerms answer(int status, HttpHeaders headers);
+	ResponseMetadata responseMetadata(int status, HttpHeaders headers);
 
 	/**
 	 * Removes the headers that are internal to the system from a response to a caller.
 	 * @param headers the headers of the response, changed in place
 	 */
-	void handBack(HttpHeaders headers);
+	void toCallerHeaders(HttpHeaders headers);
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/CallTerms.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/CallMetadata.java
@@ -5,7 +5,7 @@
 import java.util.OptionalLong;
 import java.util.stream.Collectors;
 
-import org.rosemaryfront.dispatch.SharedParts;
+import org.rosemaryfront.dispatch.PromptPrefix;
 
 /**
  * The metadata that a caller sends in the headers of its request.
@@ -15,37 +15,37 @@
  * @param key the caller's API key
  * @param prompt the prompt of a call to a model
  */
-public record CallTerms(String requestId, OptionalLong remainingMillis, Optional<String> key, Optional<Prompt> prompt) {
+public record CallMetadata(String requestId, OptionalLong remainingMillis, Optional<String> key, Optional<Prompt> prompt) {
 
 	/**
 	 * The size and the segments of a prompt.
 	 *
 	 * @param promptTokens the number of tokens of the prompt
-	 * @param answerTokens the maximum number of tokens of the response
-	 * @param parts the segments of the prompt in order; the last one is specific to this
+	 * @param maxResponseTokens the maximum number of tokens of the response
+	 * @param segments the segments of the prompt in order; the last one is specific to this
 	 * call
 	 */
-	public record Prompt(int promptTokens, int answerTokens, List<Part> parts) {
+	public record Prompt(int promptTokens, int maxResponseTokens, List<Segment> segments) {
 
 		public Prompt {
-			parts = List.copyOf(parts);
+			segments = List.copyOf(segments);
 		}
 
 		/**
 		 * Returns the prefix that other calls may share: all segments but the last.
 		 * @return the chain of segments
 		 */
-		public SharedParts shared() {
-			List<Part> shared = this.parts.subList(0, Math.max(0, this.parts.size() - 1));
-			return SharedParts.of(shared.stream().map(Part::id).toList(), shared.stream().map(Part::tokens).toList());
+		public PromptPrefix sharedPrefix() {
+			List<Segment> shared = this.segments.subList(0, Math.max(0, this.segments.size() - 1));
+			return PromptPrefix.of(shared.stream().map(Segment::id).toList(), shared.stream().map(Segment::tokens).toList());
 		}
 
 		/**
 		 * Returns all segments as one token of a log line.
 		 * @return identifiers with sizes, in order
 		 */
-		public String partList() {
-			return this.parts.stream().map((part) -> part.id() + ":" + part.tokens()).collect(Collectors.joining(","));
+		public String segmentList() {
+			return this.segments.stream().map((part) -> part.id() + ":" + part.tokens()).collect(Collectors.joining(","));
 		}
 
 		/**
@@ -53,8 +53,8 @@
 		 * @return the tokens of the last segment, or of the whole prompt if it has no
 		 * segments
 		 */
-		public int ownTokens() {
-			return this.parts.isEmpty() ? this.promptTokens : this.parts.getLast().tokens();
+		public int unsharedTokens() {
+			return this.segments.isEmpty() ? this.promptTokens : this.segments.getLast().tokens();
 		}
 
 	}
@@ -65,7 +65,7 @@
 	 * @param id identifies the segment; calls that use the same identifier share it
 	 * @param tokens the number of tokens
 	 */
-	public record Part(String id, int tokens) {
+	public record Segment(String id, int tokens) {
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/Duties.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/Duties.java
@@ -4,7 +4,7 @@
 
 import reactor.core.publisher.Mono;
 
-import org.rosemaryfront.duties.Size;
+import org.rosemaryfront.duties.PoolSize;
 
 /** The platform calls that only the gateway holding the lease may make. */
 public interface Duties {
@@ -27,6 +27,6 @@
 	 * @return completes when the platform has accepted the size; fails with a
 	 * {@link StoreException}
 	 */
-	Mono<Void> resize(long fence, Size size);
+	Mono<Void> resize(long fence, PoolSize size);
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/Handover.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/ForwardingMetadata.java
@@ -13,9 +13,9 @@
  * @param resumeAfter the identifier of the last event that the caller received, when a
  * stream is resumed
  * @param priority the priority of the call, 0 for the most urgent; empty for the default
- * @param fetchFrom the address of a server that has the prompt's shared segments cached;
+ * @param kvCacheSource the address of a server that has the prompt's shared segments cached;
  * their KV cache entries are transferred from it instead of being prefilled again
  */
-public record Handover(long remainingMillis, String serverId, Optional<String> organisation,
-		Optional<String> resumeAfter, OptionalInt priority, Optional<String> fetchFrom) {
+public record ForwardingMetadata(long remainingMillis, String serverId, Optional<String> organisation,
+		Optional<String> resumeAfter, OptionalInt priority, Optional<String> kvCacheSource) {
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/RecordCodec.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/RecordCodec.java
@@ -17,13 +17,13 @@
 	 * Returns the table and key of the configuration row.
 	 * @return the location of the row
 	 */
-	Place configuration();
+	RowLocation configuration();
 
 	/**
 	 * Returns the name of the table that holds the registrations of the backend servers.
 	 * @return the table
 	 */
-	String servers();
+	String serversTable();
 
 	/**
 	 * Decodes a configuration.
@@ -49,7 +49,7 @@
 	 * @param key the row's key, in the table of the configuration
 	 * @return the service, empty if the row does not request a roll-out
 	 */
-	Optional<String> rolloutOf(String key);
+	Optional<String> rolloutService(String key);
 
 	/**
 	 * Decodes a roll-out order.
@@ -59,7 +59,7 @@
 	 * @return the order
 	 * @throws IllegalArgumentException if the value cannot be decoded
 	 */
-	RolloutOrder rollout(String service, byte[] value, long version);
+	RolloutOrder rolloutOrder(String service, byte[] value, long version);
 
 	/**
 	 * Returns the location of the row that reports the state of a roll-out to the
@@ -67,7 +67,7 @@
 	 * @param service the service
 	 * @return the location of the row
 	 */
-	Place rolloutState(String service);
+	RowLocation rolloutState(String service);
 
 	/**
 	 * Encodes the state of a roll-out.
@@ -83,7 +83,7 @@
 	 * @param table the table
 	 * @param key the key
 	 */
-	record Place(String table, String key) {
+	record RowLocation(String table, String key) {
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/AnswerTerms.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/ResponseMetadata.java
@@ -9,5 +9,5 @@
  * success
  * @param notRun whether the server states that it did not execute the call
  */
-public record AnswerTerms(String requestId, boolean signed, boolean notRun) {
+public record ResponseMetadata(String requestId, boolean signed, boolean notRun) {
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/RowStore.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/RowStore.java
@@ -67,10 +67,10 @@
 	 * A page of rows or changes.
 	 *
 	 * @param rows the rows
-	 * @param more whether the range contains further rows
+	 * @param hasMore whether the range contains further rows
 	 * @param version the newest version of the store when the page was read
 	 */
-	record Page(List<Row> rows, boolean more, long version) {
+	record Page(List<Row> rows, boolean hasMore, long version) {
 
 		public Page {
 			rows = List.copyOf(rows);
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Call.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Call.java
@@ -20,9 +20,9 @@
 import org.rosemaryfront.dispatch.BackendServer;
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.model.Verdict;
-import org.rosemaryfront.ports.AnswerTerms;
-import org.rosemaryfront.ports.CallTerms;
-import org.rosemaryfront.ports.Handover;
+import org.rosemaryfront.ports.ResponseMetadata;
+import org.rosemaryfront.ports.CallMetadata;
+import org.rosemaryfront.ports.ForwardingMetadata;
 import org.rosemaryfront.routes.CallKind;
 import org.rosemaryfront.routes.Organisation;
 import org.rosemaryfront.routes.Route;
@@ -61,7 +61,7 @@
 
 	private final HttpRequest head;
 
-	private final CallTerms terms;
+	private final CallMetadata metadata;
 
 	private final Route route;
 
@@ -69,7 +69,7 @@
 
 	private final String service;
 
-	private final long arrivedNanos;
+	private final long receivedNanos;
 
 	private final long deadlineNanos;
 
@@ -103,7 +103,7 @@
 
 	private ServerConnection connection;
 
-	private int sends;
+	private int sendCount;
 
 	/** When the server was chosen. */
 	private long chosenNanos;
@@ -116,7 +116,7 @@
 
 	private Optional<HttpResponse> response = Optional.empty();
 
-	private AnswerTerms responseMetadata = new AnswerTerms("", false, false);
+	private ResponseMetadata responseMetadata = new ResponseMetadata("", false, false);
 
 	private final BodyBuffer responseBuffer = new BodyBuffer();
 
@@ -133,20 +133,20 @@
 
 	private Optional<EventFramer> eventFramer = Optional.empty();
 
-	Call(Gateway gateway, CallerConnection caller, HttpRequest head, CallTerms terms, Route route,
+	Call(Gateway gateway, CallerConnection caller, HttpRequest head, CallMetadata terms, Route route,
 			Optional<Organisation> organisation, String service, long arrivedNanos) {
-		this.arrivedNanos = arrivedNanos;
+		this.receivedNanos = arrivedNanos;
 		this.gateway = gateway;
 		this.caller = caller;
 		this.head = head;
-		this.terms = terms;
+		this.metadata = terms;
 		this.route = route;
 		this.organisation = organisation;
 		this.service = service;
 		this.digestBuilder = RequestDigest.begin(organisation.map(Organisation::name).orElse(""), head.method().name(),
 				RequestValidator.host(head), head.uri());
 		long millis = Math.min(route.timeoutMillis(), terms.remainingMillis().orElse(Long.MAX_VALUE));
-		this.deadlineNanos = this.arrivedNanos + TimeUnit.MILLISECONDS.toNanos(Math.max(0, millis));
+		this.deadlineNanos = this.receivedNanos + TimeUnit.MILLISECONDS.toNanos(Math.max(0, millis));
 		this.deadlineTimer = loop().schedule(this::deadlinePassed, this.deadlineNanos - System.nanoTime(),
 				TimeUnit.NANOSECONDS);
 	}
@@ -158,7 +158,7 @@
 	 * @return the identifier, empty if the caller gave none
 	 */
 	public String id() {
-		return this.terms.requestId();
+		return this.metadata.requestId();
 	}
 
 	/**
@@ -174,8 +174,8 @@
 	 * Returns the metadata that the caller sent.
 	 * @return the metadata
 	 */
-	public CallTerms terms() {
-		return this.terms;
+	public CallMetadata metadata() {
+		return this.metadata;
 	}
 
 	/**
@@ -206,8 +206,8 @@
 	 * Returns when the call was received.
 	 * @return the time on the monotonic clock, in nanoseconds
 	 */
-	public long arrivedNanos() {
-		return this.arrivedNanos;
+	public long receivedNanos() {
+		return this.receivedNanos;
 	}
 
 	/**
@@ -235,7 +235,7 @@
 	 * @return false once the request body was streamed or a response that cannot be
 	 * resumed has started
 	 */
-	public boolean isRepeatable() {
+	public boolean canResend() {
 		return !this.streamingRequest && (!this.responseStarted || this.eventFramer.isPresent());
 	}
 
@@ -243,8 +243,8 @@
 	 * Returns how often the call was sent to a server.
 	 * @return the count
 	 */
-	public int sends() {
-		return this.sends;
+	public int sendCount() {
+		return this.sendCount;
 	}
 
 	// -- decisions, callable from any thread
@@ -294,7 +294,7 @@
 	 * now
 	 * @param refusal the reason
 	 */
-	public void withdraw(boolean ran, long retryAfterMillis, Refusal refusal) {
+	public void endQuarantined(boolean ran, long retryAfterMillis, Refusal refusal) {
 		loop().execute(() -> {
 			if (ran || this.runStarted || this.state == State.SENT) {
 				giveUpNow(refusal);
@@ -309,10 +309,10 @@
 	 * Fails the current attempt if its server has restarted and thus lost the call.
 	 * @param lostStart the start of the server that is over
 	 */
-	public void serverGone(BackendServer.Start lostStart) {
+	public void serverRestarted(BackendServer.Incarnation lostStart) {
 		loop().execute(() -> {
 			boolean affected = this.state == State.SENT
-					&& this.server.map(BackendServer::start).equals(Optional.of(lostStart));
+					&& this.server.map(BackendServer::incarnation).equals(Optional.of(lostStart));
 			if (affected) {
 				abortResponse("the server restarted");
 			}
@@ -365,7 +365,7 @@
 	// has
 	// read the whole body may have executed it.
 	private void endRequestStream() {
-		if (this.gateway.policy().isHeldBack(this)) {
+		if (this.gateway.policy().isQuarantined(this)) {
 			abortResponse("the request is quarantined");
 		}
 		else {
@@ -437,12 +437,12 @@
 			connectFailed("the connection was closed before the call was sent");
 			return;
 		}
-		if (this.gateway.policy().isHeldBack(this)) {
+		if (this.gateway.policy().isQuarantined(this)) {
 			to.release();
 			connectFailed("the request is quarantined");
 			return;
 		}
-		if (!this.gateway.policy().takesCalls(this.server.orElseThrow())) {
+		if (!this.gateway.policy().acceptsCalls(this.server.orElseThrow())) {
 			to.release();
 			connectFailed("the server is draining");
 			return;
@@ -454,7 +454,7 @@
 		}
 		this.connection = to;
 		this.state = State.SENT;
-		this.sends++;
+		this.sendCount++;
 		this.sentNanos = System.nanoTime();
 		this.sendMillis = TimeUnit.NANOSECONDS.toMillis(this.sentNanos - this.chosenNanos);
 		clearErrorResponse();
@@ -482,16 +482,16 @@
 
 	private HttpRequest serverRequest() {
 		long remaining = Math.max(1, remainingMillis(System.nanoTime()));
-		Handover handover = new Handover(remaining, serverId(), this.organisation.map(Organisation::name),
+		ForwardingMetadata metadata = new ForwardingMetadata(remaining, serverId(), this.organisation.map(Organisation::name),
 				this.eventFramer.flatMap(EventFramer::lastId), OptionalInt.of(priority()), this.kvCacheSource);
 		OptionalLong length = this.bodyComplete ? OptionalLong.of(this.bodyBytes) : OptionalLong.empty();
-		return ServerRequest.of(this.head, length, this.gateway.codec(), handover);
+		return ServerRequest.of(this.head, length, this.gateway.codec(), metadata);
 	}
 
 	// -- response
 
 	@Override
-	public void responseHead(HttpResponse responseHead, AnswerTerms from) {
+	public void responseHead(HttpResponse responseHead, ResponseMetadata from) {
 		if (this.responseStarted) {
 			resumedResponseHead(responseHead, from);
 			return;
@@ -514,7 +514,7 @@
 		}
 	}
 
-	private void resumedResponseHead(HttpResponse responseHead, AnswerTerms from) {
+	private void resumedResponseHead(HttpResponse responseHead, ResponseMetadata from) {
 		boolean success = responseHead.status().codeClass() == HttpStatusClass.SUCCESS && from.signed();
 		if (!success) {
 			abortResponse("a resumed stream failed with status " + responseHead.status().code());
@@ -603,12 +603,12 @@
 
 	private void responded(BackendServer from) {
 		EventLog.info(TrafficEvents.CALL_ANSWERED, "request", id(), "route", this.route.name(), "status", statusCode(),
-				"server", from.id(), "sends", this.sends, "sendMillis", this.sendMillis, "millis", ageMillis(),
-				"firstMillis", this.responseTimes.firstMillis(this.arrivedNanos), "longestPauseMillis",
+				"server", from.id(), "sends", this.sendCount, "sendMillis", this.sendMillis, "millis", ageMillis(),
+				"firstMillis", this.responseTimes.firstMillis(this.receivedNanos), "longestPauseMillis",
 				this.responseTimes.longestPauseMillis());
 		this.gateway.metrics().answered(this, statusCode());
 		this.server = Optional.empty();
-		this.gateway.policy().ended(this, from, Ending.ANSWERED);
+		this.gateway.policy().ended(this, from, Ending.RESPONDED);
 		this.caller.endResponse();
 		finish();
 	}
@@ -622,7 +622,7 @@
 		if (!this.runStarted) {
 			this.runStarted = true;
 			this.gateway.metrics().began(this);
-			this.gateway.policy().began(this);
+			this.gateway.policy().runStarted(this);
 		}
 	}
 
@@ -690,7 +690,7 @@
 
 	private void logGivenUp(int status, Refusal refusal) {
 		EventLog.info(TrafficEvents.CALL_ANSWERED, "request", id(), "route", this.route.name(), "status", status,
-				"reason", refusal.cause(), "detail", refusal.detail(), "sends", this.sends, "millis", ageMillis());
+				"reason", refusal.cause(), "detail", refusal.detail(), "sends", this.sendCount, "millis", ageMillis());
 		this.gateway.metrics().answered(this, status);
 	}
 
@@ -709,9 +709,9 @@
 		this.caller.refuse(status, retryAfterMillis);
 		if (this.state == State.SENT) {
 			this.server
-				.ifPresent((unresponsive) -> this.gateway.pool().deadlinePassed(unresponsive.start(), this.sentNanos));
+				.ifPresent((unresponsive) -> this.gateway.pool().deadlinePassed(unresponsive.incarnation(), this.sentNanos));
 		}
-		finish((this.state == State.SENT) ? Ending.UNANSWERED : Ending.ABANDONED);
+		finish((this.state == State.SENT) ? Ending.TIMED_OUT : Ending.ABANDONED);
 	}
 
 	// Ends the call in any state. If a server is executing it, its connection is closed,
@@ -731,7 +731,7 @@
 			this.gateway.policy().ended(this, this.server.get(), ending);
 		}
 		else {
-			this.gateway.policy().dropped(this);
+			this.gateway.policy().endedWithoutServer(this);
 		}
 		this.requestBuffer.release();
 		this.responseBuffer.release();
@@ -761,7 +761,7 @@
 	}
 
 	private long ageMillis() {
-		return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.arrivedNanos);
+		return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.receivedNanos);
 	}
 
 	/** The state of a call. */
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/CallPolicy.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/CallPolicy.java
@@ -25,14 +25,14 @@
 	 * their current response.
 	 * @return true once a stop was requested
 	 */
-	boolean stopping();
+	boolean isStopping();
 
 	/**
 	 * Returns whether a new call is accepted.
 	 * @param route the route of the call, empty if there is none
 	 * @return false if the gateway is stopping and the call might not complete in time
 	 */
-	boolean accepting(Optional<Route> route);
+	boolean acceptsNewCall(Optional<Route> route);
 
 	/**
 	 * Returns whether a call must not be sent because its request is quarantined. This is
@@ -41,7 +41,7 @@
 	 * @param call the call
 	 * @return true if the call is to be returned to the policy as not sent
 	 */
-	boolean isHeldBack(Call call);
+	boolean isQuarantined(Call call);
 
 	/**
 	 * Returns whether a server accepts calls. This is checked immediately before the
@@ -50,7 +50,7 @@
 	 * @param server the server
 	 * @return false if the call is to be returned to the policy as not sent
 	 */
-	boolean takesCalls(BackendServer server);
+	boolean acceptsCalls(BackendServer server);
 
 	/**
 	 * Called when a call is ready to be sent to a backend server.
@@ -63,7 +63,7 @@
 	 * response.
 	 * @param call the call
 	 */
-	void began(Call call);
+	void runStarted(Call call);
 
 	/**
 	 * Called when an attempt at a backend server failed.
@@ -85,16 +85,16 @@
 	 * Called when a call ended while it was assigned to no backend server.
 	 * @param call the call
 	 */
-	void dropped(Call call);
+	void endedWithoutServer(Call call);
 
 	/** How a call ended at a backend server other than by a failure. */
 	enum Ending {
 
 		/** The response is complete. */
-		ANSWERED,
+		RESPONDED,
 
 		/** The deadline passed before the server responded. */
-		UNANSWERED,
+		TIMED_OUT,
 
 		/** The caller disconnected, or the call ended before it was sent. */
 		ABANDONED
@@ -106,11 +106,11 @@
 	 *
 	 * @param verdict whether the call may have run
 	 * @param sent whether anything was sent to the server
-	 * @param answered whether the server sent a complete error response, which the call
+	 * @param responded whether the server sent a complete error response, which the call
 	 * keeps
 	 * @param cause the cause, for the log
 	 */
-	record Failure(Verdict verdict, boolean sent, boolean answered, String cause) {
+	record Failure(Verdict verdict, boolean sent, boolean responded, String cause) {
 	}
 
 }
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/CallerConnection.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/CallerConnection.java
@@ -29,7 +29,7 @@
 import io.netty.util.ReferenceCountUtil;
 
 import org.rosemaryfront.events.EventLog;
-import org.rosemaryfront.ports.CallTerms;
+import org.rosemaryfront.ports.CallMetadata;
 import org.rosemaryfront.routes.CallerLimits;
 import org.rosemaryfront.routes.Organisation;
 import org.rosemaryfront.routes.Route;
@@ -156,7 +156,7 @@
 			refuseRequest("", fault.get().status(), 0, fault.get().reason());
 			return;
 		}
-		CallTerms terms = this.gateway.codec().terms(head.headers());
+		CallMetadata terms = this.gateway.codec().callMetadata(head.headers());
 		if (configuration.isEmpty()) {
 			refuseRequest(terms.requestId(), 503, NOT_READY_RETRY_MILLIS, "no configuration has been received");
 			return;
@@ -164,10 +164,10 @@
 		route(head, terms, configuration.get(), arrivedNanos);
 	}
 
-	private void route(HttpRequest head, CallTerms terms, TrafficConfiguration configuration, long arrivedNanos) {
+	private void route(HttpRequest head, CallMetadata terms, TrafficConfiguration configuration, long arrivedNanos) {
 		String path = RequestValidator.path(head.uri());
 		Optional<Route> route = configuration.route(RequestValidator.host(head), path);
-		if (!this.gateway.policy().accepting(route)) {
+		if (!this.gateway.policy().acceptsNewCall(route)) {
 			// The load balancer still routes callers here when most gateways of the zone
 			// are stopping.
 			refuseRequest(terms.requestId(), 503, STOPPING_RETRY_MILLIS, "the gateway is stopping");
@@ -179,14 +179,14 @@
 			return;
 		}
 		Optional<Organisation> organisation = terms.key().flatMap(configuration::organisation);
-		if (!configuration.organisations().isEmpty() && !route.get().open() && organisation.isEmpty()) {
+		if (!configuration.organisations().isEmpty() && !route.get().keyless() && organisation.isEmpty()) {
 			refuseRequest(terms.requestId(), 401, 0, "unknown key in configuration version " + configuration.version());
 			return;
 		}
 		if (HttpUtil.is100ContinueExpected(head)) {
 			this.channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
 		}
-		String service = route.get().service(Math.random());
+		String service = route.get().selectService(Math.random());
 		this.call = Optional
 			.of(new Call(this.gateway, this, head, terms, route.get(), organisation, service, arrivedNanos));
 	}
@@ -239,7 +239,7 @@
 				serverHead.headers().copy());
 		boolean hasLength = HttpUtil.isContentLengthSet(serverHead);
 		HopByHopHeaders.remove(head.headers());
-		this.gateway.codec().handBack(head.headers());
+		this.gateway.codec().toCallerHeaders(head.headers());
 		this.bodilessResponse = bodiless || serverHead.status().code() == 204 || serverHead.status().code() == 304;
 		if (!hasLength && !this.bodilessResponse) {
 			if (this.http10) {
@@ -332,7 +332,7 @@
 	}
 
 	private void setConnectionHeader(HttpResponse head) {
-		this.closeAfterResponse |= this.gateway.policy().stopping();
+		this.closeAfterResponse |= this.gateway.policy().isStopping();
 		if (this.closeAfterResponse) {
 			head.headers().set(HttpHeaderNames.CONNECTION, "close");
 		}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ConnectionPool.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ConnectionPool.java
@@ -58,7 +58,7 @@
 
 	private final CallCodec codec;
 
-	private final Map<BackendServer.Start, Connections> servers = new HashMap<>();
+	private final Map<BackendServer.Incarnation, Connections> servers = new HashMap<>();
 
 	private final Map<ServerConnection, Connections> owners = new HashMap<>();
 
@@ -81,7 +81,7 @@
 	 */
 	void acquire(BackendServer server, int maxConnections, Consumer<ServerConnection> onConnected,
 			Consumer<String> onFailure) {
-		Connections connections = this.servers.computeIfAbsent(server.start(), (_) -> new Connections());
+		Connections connections = this.servers.computeIfAbsent(server.incarnation(), (_) -> new Connections());
 		while (!connections.idle.isEmpty()) {
 			ServerConnection idle = connections.idle.pollLast();
 			if (idle.isActive() && !idle.isStale(System.nanoTime())) {
@@ -107,7 +107,7 @@
 	 * @param result receives whether the server is alive
 	 */
 	void checkAlive(BackendServer server, int maxConnections, Consumer<Boolean> result) {
-		Connections connections = this.servers.computeIfAbsent(server.start(), (_) -> new Connections());
+		Connections connections = this.servers.computeIfAbsent(server.incarnation(), (_) -> new Connections());
 		if (connections.open.size() + connections.connecting >= maxConnections) {
 			result.accept(true);
 			return;
@@ -122,7 +122,7 @@
 	 * Closes the idle connections to servers that were removed or restarted.
 	 * @param current the starts of the current servers
 	 */
-	void retain(Set<BackendServer.Start> current) {
+	void retain(Set<BackendServer.Incarnation> current) {
 		this.servers.forEach((server, connections) -> {
 			if (!current.contains(server)) {
 				connections.idle.forEach(ServerConnection::close);
@@ -151,7 +151,7 @@
 	 * @param server the start of the server
 	 * @param sentNanos when the call was sent
 	 */
-	void deadlinePassed(BackendServer.Start server, long sentNanos) {
+	void deadlinePassed(BackendServer.Incarnation server, long sentNanos) {
 		Connections connections = this.servers.get(server);
 		if (connections != null && connections.lastReceivedNanos - sentNanos < 0) {
 			connections.idle.forEach(ServerConnection::close);
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Gateway.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Gateway.java
@@ -84,8 +84,8 @@
 	 * Closes the idle connections to servers that were removed or restarted.
 	 * @param current the starts of the current servers
 	 */
-	public void retainServers(Set<BackendServer.Start> current) {
-		Set<BackendServer.Start> starts = Set.copyOf(current);
+	public void retainServers(Set<BackendServer.Incarnation> current) {
+		Set<BackendServer.Incarnation> starts = Set.copyOf(current);
 		this.loop.execute(() -> this.pool.retain(starts));
 	}
 
@@ -96,7 +96,7 @@
 	 * server
 	 * @param result receives whether the server is alive, on the traffic thread
 	 */
-	public void ask(BackendServer server, int maxConnections, Consumer<Boolean> result) {
+	public void checkAlive(BackendServer server, int maxConnections, Consumer<Boolean> result) {
 		this.loop.execute(() -> this.pool.checkAlive(server, maxConnections, result));
 	}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ResponseListener.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ResponseListener.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
 
-import org.rosemaryfront.ports.AnswerTerms;
+import org.rosemaryfront.ports.ResponseMetadata;
 
 /**
  * Receives the response of a backend server. All methods are called on the traffic
@@ -16,7 +16,7 @@
 	 * @param head the head
 	 * @param terms the metadata that the server sent with it
 	 */
-	void responseHead(HttpResponse head, AnswerTerms terms);
+	void responseHead(HttpResponse head, ResponseMetadata terms);
 
 	/**
 	 * Called when a chunk of the body was received.
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ServerConnection.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ServerConnection.java
@@ -16,7 +16,7 @@
 import io.netty.util.ReferenceCountUtil;
 
 import org.rosemaryfront.events.EventLog;
-import org.rosemaryfront.ports.AnswerTerms;
+import org.rosemaryfront.ports.ResponseMetadata;
 import org.rosemaryfront.ports.CallCodec;
 
 /**
@@ -175,7 +175,7 @@
 			this.skippingResponse = true;
 			return;
 		}
-		AnswerTerms terms = this.codec.answer(head.status().code(), head.headers());
+		ResponseMetadata terms = this.codec.responseMetadata(head.status().code(), head.headers());
 		if (!terms.requestId().isEmpty() && !terms.requestId().equals(this.requestId)) {
 			EventLog.warn(TrafficEvents.STRAY_ANSWER, "request", this.requestId, "answers", terms.requestId());
 			this.skippingResponse = true;
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ServerRequest.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ServerRequest.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 import org.rosemaryfront.ports.CallCodec;
-import org.rosemaryfront.ports.Handover;
+import org.rosemaryfront.ports.ForwardingMetadata;
 
 /** Creates the request for a backend server from the request of a caller. */
 final class ServerRequest {
@@ -25,10 +25,10 @@
 	 * @param length the length of the body if it is known; otherwise the caller's framing
 	 * is kept
 	 * @param codec the codec for the headers of calls
-	 * @param handover the metadata for the server
+	 * @param metadata the metadata for the server
 	 * @return the head
 	 */
-	static HttpRequest of(HttpRequest callerHead, OptionalLong length, CallCodec codec, Handover handover) {
+	static HttpRequest of(HttpRequest callerHead, OptionalLong length, CallCodec codec, ForwardingMetadata metadata) {
 		HttpHeaders headers = callerHead.headers().copy();
 		boolean hasBody = HttpUtil.isContentLengthSet(callerHead) || HttpUtil.isTransferEncodingChunked(callerHead);
 		HopByHopHeaders.remove(headers);
@@ -38,7 +38,7 @@
 		else if (hasBody && !headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
 			headers.set(HttpHeaderNames.TRANSFER_ENCODING, "chunked");
 		}
-		codec.handOver(headers, handover);
+		codec.toServerHeaders(headers, metadata);
 		return new DefaultHttpRequest(HttpVersion.HTTP_1_1, callerHead.method(), callerHead.uri(), headers);
 	}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/TrafficMetrics.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/TrafficMetrics.java
@@ -31,12 +31,12 @@
 	 * Increments a counter.
 	 * @param name the name of the metric
 	 */
-	public void count(String name) {
+	public void increment(String name) {
 		this.registry.counter(name).inc();
 	}
 
 	void answered(Call call, int status) {
-		count("calls.answered." + status);
+		increment("calls.answered." + status);
 		this.registry.histogram("calls.answer.millis." + call.route().kind()).update(millis(call));
 	}
 
@@ -45,15 +45,15 @@
 	}
 
 	void broken() {
-		count("calls.broken");
+		increment("calls.broken");
 	}
 
 	void refused(int status) {
-		count("calls.refused." + status);
+		increment("calls.refused." + status);
 	}
 
 	private static long millis(Call call) {
-		return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - call.arrivedNanos());
+		return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - call.receivedNanos());
 	}
 
 }
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CallProgressTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CallProgressTests.java
@@ -10,7 +10,7 @@
 import org.rosemaryfront.dispatch.BackendServer;
 import org.rosemaryfront.dispatch.Dispatcher.Choice;
 import org.rosemaryfront.dispatch.FirstTokenModel.Work;
-import org.rosemaryfront.dispatch.SharedParts;
+import org.rosemaryfront.dispatch.PromptPrefix;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -19,7 +19,7 @@
 	private static final BackendServer SERVER = new BackendServer("s1", 0, "llm", "v1", "127.0.0.1:1", "a", 4, false,
 			false, 0);
 
-	private final CallProgress progress = CallProgress.of(SharedParts.none());
+	private final CallProgress progress = CallProgress.of(PromptPrefix.none());
 
 	private void send(long expectedMillis, Optional<Work> work) {
 		this.progress.sent(new Choice.Chosen(SERVER, 0, 100, expectedMillis, 1, Optional.empty(), work), 0);
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashRecordsTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashRecordsTests.java
@@ -16,10 +16,10 @@
 import org.rosemaryfront.crashes.Crash;
 import org.rosemaryfront.crashes.Evidence;
 import org.rosemaryfront.crashes.Evidence.State;
-import org.rosemaryfront.crashes.Judgement;
+import org.rosemaryfront.crashes.QuarantineDecision;
 import org.rosemaryfront.crashes.RequestDigest;
 import org.rosemaryfront.dispatch.BackendServer;
-import org.rosemaryfront.dispatch.BackendServer.Start;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
 import org.rosemaryfront.dispatch.BackendTable;
 import org.rosemaryfront.model.Verdict;
 import org.rosemaryfront.ports.RowStore;
@@ -84,12 +84,12 @@
 	@Test
 	void shouldWritePendingCrashesWhenStoreIsAvailableAgain() {
 		follow();
-		this.rows.away(true);
+		this.rows.setUnavailable(true);
 		for (int i = 0; i < 3; i++) {
 			breakConnection(i);
 		}
 		GatewayHarness.await(() -> this.records.isQuarantined(REQUEST));
-		this.rows.away(false);
+		this.rows.setUnavailable(false);
 		GatewayHarness.await(() -> this.rows.rows(CrashRows.TABLE).size() == 3);
 	}
 
@@ -97,12 +97,12 @@
 	@Test
 	void shouldWriteOtherRowsWhenOneExistsAlready() {
 		follow();
-		this.rows.away(true);
+		this.rows.setUnavailable(true);
 		breakConnection(0);
 		breakConnection(1);
 		GatewayHarness.await(() -> judge().servers().size() == 2);
 		put(new Evidence(crash(0), State.CONFIRMED, 0));
-		this.rows.away(false);
+		this.rows.setUnavailable(false);
 		GatewayHarness.await(() -> this.rows.rows(CrashRows.TABLE).size() == 2);
 	}
 
@@ -123,11 +123,11 @@
 	void shouldGrantProbeToOneGatewayOnly() {
 		crashSimultaneously();
 		follow();
-		Judgement decision = judge();
-		assertThat(decision).isInstanceOf(Judgement.OnTrial.class);
+		QuarantineDecision decision = judge();
+		assertThat(decision).isInstanceOf(QuarantineDecision.Probe.class);
 		this.rows.put(CrashRows.TABLE, CrashRows.probeKey(REQUEST), "{\"gateway\":\"gateway-2/1\"}");
 		assertThat(claim()).isFalse();
-		GatewayHarness.await(() -> judge() instanceof Judgement.Held);
+		GatewayHarness.await(() -> judge() instanceof QuarantineDecision.Quarantined);
 	}
 
 	// The response to a claim is lost although its row was written. Nothing was sent, and
@@ -149,10 +149,10 @@
 		crashSimultaneously();
 		follow();
 		assertThat(claim()).isTrue();
-		this.rows.away(true);
+		this.rows.setUnavailable(true);
 		this.control.post((_) -> this.records.probes().giveBack(REQUEST));
-		GatewayHarness.await(() -> this.rows.refusedCommits(CrashRows.TABLE) > 0);
-		this.rows.away(false);
+		GatewayHarness.await(() -> this.rows.rejectedCommits(CrashRows.TABLE) > 0);
+		this.rows.setUnavailable(false);
 		GatewayHarness.await(() -> !this.rows.rows(CrashRows.TABLE).containsKey(CrashRows.probeKey(REQUEST)));
 	}
 
@@ -168,10 +168,10 @@
 		this.records = new CrashRecords(store(), new BackendTable(), this.control, "gateway-1/1",
 				new UnreachableServers());
 		TableWatch watch = TableWatch.of(this.rows, CrashRows.TABLE, GatewayHarness.table(),
-				new PeerTables(this.loops, List::of), FreshnessLimits.usual(), this.records.listener());
+				new PeerTables(this.loops, List::of), FreshnessLimits.defaults(), this.records.listener());
 		this.ticking.dispose();
 		this.ticking = GatewayHarness.ticking(watch);
-		GatewayHarness.await(this.records::isKnown);
+		GatewayHarness.await(this.records::isLoaded);
 	}
 
 	private boolean claim() {
@@ -185,8 +185,8 @@
 		this.control.post((now) -> this.records.connectionBroke(REQUEST, server, now));
 	}
 
-	private Judgement judge() {
-		CompletableFuture<Judgement> response = new CompletableFuture<>();
+	private QuarantineDecision judge() {
+		CompletableFuture<QuarantineDecision> response = new CompletableFuture<>();
 		this.control.post((_) -> response.complete(this.records.judge(REQUEST)));
 		return response.join();
 	}
@@ -197,7 +197,7 @@
 	}
 
 	private static Crash crash(int server) {
-		return new Crash(REQUEST, new Start("s" + server, 0));
+		return new Crash(REQUEST, new Incarnation("s" + server, 0));
 	}
 
 	// Executes each commit but can lose its response.
@@ -227,15 +227,15 @@
 	}
 
 	/** Servers that take no connection. */
-	private static final class UnreachableServers implements CrashRecords.Hooks {
+	private static final class UnreachableServers implements CrashRecords.Callbacks {
 
 		@Override
-		public void ask(BackendServer server, Consumer<Boolean> reply) {
+		public void checkAlive(BackendServer server, Consumer<Boolean> reply) {
 			reply.accept(false);
 		}
 
 		@Override
-		public void held(RequestDigest request) {
+		public void quarantined(RequestDigest request) {
 			// No calls to end.
 		}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashingRequestTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/CrashingRequestTests.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import org.rosemaryfront.gateway.RawCaller.Answer;
+import org.rosemaryfront.gateway.RawCaller.Response;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -68,9 +68,9 @@
 		crashServers(path);
 		sleep(PROPAGATION_MILLIS);
 		assertThat(copiesSentOfRepeats(path)).isLessThanOrEqualTo(MAX_FURTHER_COPIES);
-		Answer response = ask(1, path, CrashableServers.CRASHING);
+		Response response = ask(1, path, CrashableServers.CRASHING);
 		assertThat(response.status()).isEqualTo(503);
-		assertThat(response.says("retry-after")).isTrue();
+		assertThat(response.hasHeader("retry-after")).isTrue();
 		assertThat(ask(0, path, "other").status()).isEqualTo(200);
 	}
 
@@ -92,7 +92,7 @@
 	void shouldQuarantineRequestWhenAllProcessesWereKilled() throws IOException {
 		crashServers("/drafts/");
 		sleep(PROPAGATION_MILLIS);
-		this.fleet.forEach((gateway) -> gateway.access.deny());
+		this.fleet.forEach((gateway) -> gateway.storeAccess.rejectAll());
 		this.fleet.forEach(GatewayHarness::stop);
 		this.fleet = GatewayHarness.startFleet(this.store, GATEWAYS, 8_000);
 		this.fleet.getFirst().declare();
@@ -148,7 +148,7 @@
 		this.servers.deregisterCrashed();
 	}
 
-	private Answer operator(String method, String path) {
+	private Response operator(String method, String path) {
 		try (RawCaller operator = new RawCaller(this.fleet.getFirst().settings.metrics())) {
 			return operator.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").read();
 		}
@@ -195,8 +195,8 @@
 		return this.servers.copiesSent() - before;
 	}
 
-	private Answer ask(int number, String path, String body) throws IOException {
-		return this.fleet.get(number % GATEWAYS).ask(RawCaller.post("c" + System.nanoTime(), path, body));
+	private Response ask(int number, String path, String body) throws IOException {
+		return this.fleet.get(number % GATEWAYS).send(RawCaller.post("c" + System.nanoTime(), path, body));
 	}
 
 	private static void sleep(long millis) {
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultInjectingStore.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultInjectingStore.java
@@ -36,7 +36,7 @@
 	}
 
 	/** Rejects all requests from now on, and fails the outstanding ones. */
-	void deny() {
+	void rejectAll() {
 		this.rejecting = true;
 		this.rejection.tryEmitError(failure());
 	}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultyServerTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultyServerTests.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import org.rosemaryfront.gateway.RawCaller.Answer;
+import org.rosemaryfront.gateway.RawCaller.Response;
 import org.rosemaryfront.standin.net.Relay;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -60,7 +60,7 @@
 
 	private int shortCall(String id) {
 		try {
-			return this.gateway.ask(RawCaller.get(id, "/short/")).status();
+			return this.gateway.send(RawCaller.get(id, "/short/")).status();
 		}
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
@@ -83,7 +83,7 @@
 	@ParameterizedTest
 	@ValueSource(strings = { "reset", "close", "half" })
 	void shouldNotRetryNonRepeatableCallWhenItMayHaveRun(String end) throws IOException {
-		try (ScriptedServer server = this.gateway.serving((request, exchange) -> {
+		try (ScriptedServer server = this.gateway.startServer((request, exchange) -> {
 			if (end.equals("half")) {
 				exchange.write("HTTP/1.1 200 OK\r\nCall: c1\r\nSignature: s\r\nContent-Length: 100\r\n\r\nhalf");
 			}
@@ -94,7 +94,7 @@
 				exchange.socket().close();
 			}
 		})) {
-			Answer response = this.gateway.ask(RawCaller.post("c1", "/visits/", "x"));
+			Response response = this.gateway.send(RawCaller.post("c1", "/visits/", "x"));
 			assertThat(response.status()).isEqualTo(502);
 			assertThat(server.requests()).hasSize(1);
 		}
@@ -119,10 +119,10 @@
 				default -> exchange.reset();
 			}
 		};
-		try (ScriptedServer _ = this.gateway.serving(script); ScriptedServer second = ScriptedServer.start(script)) {
+		try (ScriptedServer _ = this.gateway.startServer(script); ScriptedServer second = ScriptedServer.start(script)) {
 			this.gateway.register("s2", second);
 			this.gateway.ready();
-			Answer response = this.gateway.ask(RawCaller.post("c1", path, "x"));
+			Response response = this.gateway.send(RawCaller.post("c1", path, "x"));
 			assertThat(response.status()).isEqualTo(200);
 			assertThat(response.body()).isEqualTo("good");
 			assertThat(runs.get()).isEqualTo(2);
@@ -132,10 +132,10 @@
 	@Test
 	void shouldRespondNotRunWhenNoServerRanCall() throws IOException {
 		try (ScriptedServer server = this.gateway
-			.serving((request, exchange) -> exchange.status(request, 503, "Not-Run: 1\r\n"))) {
-			Answer response = this.gateway.ask(RawCaller.post("c1", "/visits/", "x"));
+			.startServer((request, exchange) -> exchange.status(request, 503, "Not-Run: 1\r\n"))) {
+			Response response = this.gateway.send(RawCaller.post("c1", "/visits/", "x"));
 			assertThat(response.status()).isEqualTo(503);
-			assertThat(response.says("retry-after")).isTrue();
+			assertThat(response.hasHeader("retry-after")).isTrue();
 			assertThat(server.requests()).hasSize(1);
 		}
 	}
@@ -143,10 +143,10 @@
 	@Test
 	void shouldForwardServerErrorWhenNoRetryIsPossible() throws IOException {
 		try (ScriptedServer _ = this.gateway
-			.serving((request, exchange) -> exchange.status(request, 500, "Signature: s\r\n"))) {
-			Answer response = this.gateway.ask(RawCaller.post("c1", "/visits/", "x"));
+			.startServer((request, exchange) -> exchange.status(request, 500, "Signature: s\r\n"))) {
+			Response response = this.gateway.send(RawCaller.post("c1", "/visits/", "x"));
 			assertThat(response.status()).isEqualTo(500);
-			assertThat(response.says("signature")).isTrue();
+			assertThat(response.hasHeader("signature")).isTrue();
 		}
 	}
 
@@ -156,8 +156,8 @@
 	@Test
 	void shouldNotRespondNotRunWhenCallRanAndNoOtherServerIsLeft() throws IOException {
 		try (ScriptedServer server = this.gateway
-			.serving((request, exchange) -> exchange.status(request, 500, "Signature: s\r\n"))) {
-			assertThat(this.gateway.ask(RawCaller.post("c1", "/sheets/", "x")).status()).isEqualTo(500);
+			.startServer((request, exchange) -> exchange.status(request, 500, "Signature: s\r\n"))) {
+			assertThat(this.gateway.send(RawCaller.post("c1", "/sheets/", "x")).status()).isEqualTo(500);
 			assertThat(server.requests()).hasSize(1);
 		}
 	}
@@ -165,12 +165,12 @@
 	@Test
 	void shouldTryNextServerWhenOneIsUnreachable() throws IOException {
 		try (ScriptedServer dead = ScriptedServer.start((_, _) -> {
-		}); ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "good"))) {
+		}); ScriptedServer server = this.gateway.startServer((request, exchange) -> exchange.ok(request, "good"))) {
 			String address = dead.address();
 			dead.close();
 			this.gateway.store.put(GatewayHarness.SERVERS, "s0", "app " + address + " ready");
 			for (int i = 0; i < 6; i++) {
-				assertThat(this.gateway.ask(RawCaller.post("c" + i, "/visits/", "x")).status()).isEqualTo(200);
+				assertThat(this.gateway.send(RawCaller.post("c" + i, "/visits/", "x")).status()).isEqualTo(200);
 			}
 			assertThat(server.requests()).hasSize(6);
 		}
@@ -181,13 +181,13 @@
 	// timeout.
 	@Test
 	void shouldAvoidServerWhenItDoesNotRespond() throws IOException {
-		try (ScriptedServer _ = this.gateway.serving((_, exchange) -> exchange.hold());
+		try (ScriptedServer _ = this.gateway.startServer((_, exchange) -> exchange.hold());
 				ScriptedServer good = ScriptedServer.start((request, exchange) -> exchange.ok(request, "good"))) {
 			this.gateway.register("s2", good);
 			this.gateway.ready();
 			int unanswered = 0;
 			for (int i = 0; i < 12; i++) {
-				unanswered += (this.gateway.ask(RawCaller.get("c" + i, "/short/")).status() == 504) ? 1 : 0;
+				unanswered += (this.gateway.send(RawCaller.get("c" + i, "/short/")).status() == 504) ? 1 : 0;
 			}
 			assertThat(unanswered).isBetween(1, 4);
 		}
@@ -199,12 +199,12 @@
 	// to the next call, it would show one household the booking of another.
 	@Test
 	void shouldDiscardExtraResponseWhenNextCallIsSent() throws Exception {
-		try (ScriptedServer _ = this.gateway.serving((request, exchange) -> {
+		try (ScriptedServer _ = this.gateway.startServer((request, exchange) -> {
 			exchange.ok(request, request.call());
 			exchange.ok(request, "extra");
 		}); RawCaller caller = this.gateway.caller()) {
 			for (int i = 0; i < 10; i++) {
-				Answer response = caller.send(RawCaller.get("c" + i, "/sheets/")).read();
+				Response response = caller.send(RawCaller.get("c" + i, "/sheets/")).read();
 				assertThat(response.body()).isEqualTo("c" + i);
 			}
 		}
@@ -213,11 +213,11 @@
 	// The extra response arrives late, while the next one is awaited.
 	@Test
 	void shouldSkipResponseWhenItNamesAnotherCall() throws IOException {
-		try (ScriptedServer _ = this.gateway.serving((request, exchange) -> {
+		try (ScriptedServer _ = this.gateway.startServer((request, exchange) -> {
 			exchange.write("HTTP/1.1 200 OK\r\nCall: other\r\nSignature: s\r\nContent-Length: 5\r\n\r\nwrong");
 			exchange.ok(request, "right");
 		})) {
-			assertThat(this.gateway.ask(RawCaller.post("c1", "/visits/", "x")).body()).isEqualTo("right");
+			assertThat(this.gateway.send(RawCaller.post("c1", "/visits/", "x")).body()).isEqualTo("right");
 		}
 	}
 
@@ -225,8 +225,8 @@
 	@ValueSource(strings = { "this is no answer\r\n\r\n",
 			"HTTP/1.1 200 OK\r\nCall: c1\r\nContent-Length: 8\r\n\r\nunsigned" })
 	void shouldNotForwardResponseWhenItIsInvalid(String bytes) throws IOException {
-		try (ScriptedServer _ = this.gateway.serving((_, exchange) -> exchange.write(bytes))) {
-			Answer response = this.gateway.ask(RawCaller.post("c1", "/visits/", "x"));
+		try (ScriptedServer _ = this.gateway.startServer((_, exchange) -> exchange.write(bytes))) {
+			Response response = this.gateway.send(RawCaller.post("c1", "/visits/", "x"));
 			assertThat(response.status()).isEqualTo(502);
 			assertThat(response.body()).doesNotContain("unsigned");
 		}
@@ -237,7 +237,7 @@
 	@ParameterizedTest
 	@CsvSource({ "close, 200", "reset, 502" })
 	void shouldAcceptResponseWithoutLengthOnlyWhenConnectionClosesCleanly(String end, int status) throws IOException {
-		try (ScriptedServer _ = this.gateway.serving((request, exchange) -> {
+		try (ScriptedServer _ = this.gateway.startServer((request, exchange) -> {
 			exchange.write("HTTP/1.1 200 OK\r\nCall: " + request.call() + "\r\nSignature: s\r\n\r\nall of it");
 			if (end.equals("reset")) {
 				sleep(200);
@@ -247,7 +247,7 @@
 				exchange.socket().close();
 			}
 		})) {
-			assertThat(this.gateway.ask(RawCaller.post("c1", "/visits/", "x")).status()).isEqualTo(status);
+			assertThat(this.gateway.send(RawCaller.post("c1", "/visits/", "x")).status()).isEqualTo(status);
 		}
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ForwardingTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ForwardingTests.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import org.rosemaryfront.gateway.RawCaller.Answer;
+import org.rosemaryfront.gateway.RawCaller.Response;
 import org.rosemaryfront.gateway.ScriptedServer.Request;
 import org.rosemaryfront.routes.CallerLimits;
 
@@ -38,11 +38,11 @@
 
 	@Test
 	void shouldForwardMethodPathBodyAndResponseUnchanged() throws IOException {
-		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "booked"))) {
-			Answer response = this.gateway.ask(RawCaller.post("c1", "/visits/7?when=now", "visit"));
+		try (ScriptedServer server = this.gateway.startServer((request, exchange) -> exchange.ok(request, "booked"))) {
+			Response response = this.gateway.send(RawCaller.post("c1", "/visits/7?when=now", "visit"));
 			assertThat(response.status()).isEqualTo(200);
 			assertThat(response.body()).isEqualTo("booked");
-			assertThat(response.says("signature")).isTrue();
+			assertThat(response.hasHeader("signature")).isTrue();
 			Request sent = server.requests().getFirst();
 			assertThat(sent.line()).isEqualTo("POST /visits/7?when=now HTTP/1.1");
 			assertThat(sent.body()).isEqualTo("visit");
@@ -57,7 +57,7 @@
 	// the request was unread at a busy gateway.
 	@Test
 	void shouldNotSendRequestWhenCallerDisconnectedBeforeItWasRead() throws Exception {
-		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "x"));
+		try (ScriptedServer server = this.gateway.startServer((request, exchange) -> exchange.ok(request, "x"));
 				RawCaller caller = this.gateway.caller()) {
 			assertThat(caller.send(RawCaller.get("c1", "/sheets/")).read().status()).isEqualTo(200);
 			CountDownLatch begun = new CountDownLatch(1);
@@ -67,28 +67,28 @@
 			caller.send(RawCaller.get("c2", "/sheets/"));
 			caller.close();
 			until.countDown();
-			assertThat(this.gateway.ask(RawCaller.get("c3", "/sheets/")).status()).isEqualTo(200);
+			assertThat(this.gateway.send(RawCaller.get("c3", "/sheets/")).status()).isEqualTo(200);
 			assertThat(server.requests()).extracting((request) -> request.header("call")).containsExactly("c1", "c3");
 		}
 	}
 
 	@Test
 	void shouldNotForwardMoreTimeThanRemains() throws IOException {
-		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "x"))) {
-			this.gateway.ask(RawCaller.get("c1", "/sheets/").replace("Key:", "Remaining: 700\r\nKey:"));
+		try (ScriptedServer server = this.gateway.startServer((request, exchange) -> exchange.ok(request, "x"))) {
+			this.gateway.send(RawCaller.get("c1", "/sheets/").replace("Key:", "Remaining: 700\r\nKey:"));
 			assertThat(Long.parseLong(server.requests().getFirst().header("remaining"))).isBetween(1L, 700L);
 		}
 	}
 
 	@Test
 	void shouldAcceptLongChunkedBody() throws IOException {
-		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "x"))) {
+		try (ScriptedServer server = this.gateway.startServer((request, exchange) -> exchange.ok(request, "x"))) {
 			String chunk = "x".repeat(10_000);
 			StringBuilder body = new StringBuilder();
 			for (int i = 0; i < 10; i++) {
 				body.append(Integer.toHexString(chunk.length())).append("\r\n").append(chunk).append("\r\n");
 			}
-			Answer response = this.gateway.ask("POST /visits/ HTTP/1.1\r\nHost: a.example\r\nCall: c1\r\nKey: key-1\r\n"
+			Response response = this.gateway.send("POST /visits/ HTTP/1.1\r\nHost: a.example\r\nCall: c1\r\nKey: key-1\r\n"
 					+ "Transfer-Encoding: chunked\r\n\r\n" + body + "0\r\n\r\n");
 			assertThat(response.status()).isEqualTo(200);
 			assertThat(server.requests().getFirst().body()).isEqualTo(chunk.repeat(10));
@@ -97,7 +97,7 @@
 
 	@Test
 	void shouldReuseConnections() throws IOException {
-		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "x"));
+		try (ScriptedServer server = this.gateway.startServer((request, exchange) -> exchange.ok(request, "x"));
 				RawCaller caller = this.gateway.caller()) {
 			for (int i = 0; i < 5; i++) {
 				assertThat(caller.send(RawCaller.get("c" + i, "/sheets/")).read().status()).isEqualTo(200);
@@ -108,7 +108,7 @@
 
 	@Test
 	void shouldRespondInOrderWhenRequestsArePipelined() throws IOException {
-		try (ScriptedServer _ = this.gateway.serving((request, exchange) -> exchange.ok(request, request.call()));
+		try (ScriptedServer _ = this.gateway.startServer((request, exchange) -> exchange.ok(request, request.call()));
 				RawCaller caller = this.gateway.caller()) {
 			caller.send(RawCaller.get("c1", "/sheets/") + RawCaller.post("c2", "/visits/", "x")
 					+ RawCaller.get("c3", "/sheets/"));
@@ -124,9 +124,9 @@
 	// route does not exist, and the callers would not retry.
 	@Test
 	void shouldRespondRetryAfterWhenNoConfigurationIsLoaded() throws IOException {
-		Answer response = this.gateway.ask(RawCaller.get("c1", "/sheets/"));
+		Response response = this.gateway.send(RawCaller.get("c1", "/sheets/"));
 		assertThat(response.status()).isEqualTo(503);
-		assertThat(response.says("retry-after")).isTrue();
+		assertThat(response.hasHeader("retry-after")).isTrue();
 		assertThat(this.gateway.readiness()).isEqualTo(503);
 	}
 
@@ -135,7 +135,7 @@
 	// after the caller left.
 	@Test
 	void shouldCountQueueingTimeWhenRequestsArePipelined() throws IOException {
-		try (ScriptedServer server = this.gateway.serving((request, exchange) -> {
+		try (ScriptedServer server = this.gateway.startServer((request, exchange) -> {
 			pause(300);
 			exchange.ok(request, "x");
 		}); RawCaller caller = this.gateway.caller()) {
@@ -160,7 +160,7 @@
 	@CsvSource({ "/nowhere/, key-1, 404", "/sheets/, key-2, 401", "/sheets/, key-1, 503" })
 	void shouldRefuseCallWhenRouteKeyOrServerIsMissing(String path, String key, int status) throws IOException {
 		this.gateway.declare().ready();
-		Answer response = this.gateway.ask(RawCaller.get("c1", path).replace("key-1", key));
+		Response response = this.gateway.send(RawCaller.get("c1", path).replace("key-1", key));
 		assertThat(response.status()).isEqualTo(status);
 	}
 
@@ -169,12 +169,12 @@
 		this.gateway.declare(GatewayHarness.configuration(1, CallerLimits.INITIAL, GatewayHarness.organisation(0.001)));
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			this.gateway.register("s1", server).ready();
-			Answer over = this.gateway.ask(RawCaller.get("c1", "/sheets/"));
+			Response over = this.gateway.send(RawCaller.get("c1", "/sheets/"));
 			while (over.status() == 200) {
-				over = this.gateway.ask(RawCaller.get("c1", "/sheets/"));
+				over = this.gateway.send(RawCaller.get("c1", "/sheets/"));
 			}
 			assertThat(over.status()).isEqualTo(429);
-			assertThat(over.says("retry-after")).isTrue();
+			assertThat(over.hasHeader("retry-after")).isTrue();
 			assertThat(server.requests()).hasSizeLessThanOrEqualTo(1);
 		}
 	}
@@ -187,7 +187,7 @@
 			"Transfer-Encoding : chunked\r\n", "Transfer-Encoding: xchunked\r\n", "Content-Length: +5\r\n",
 			"Content-Length: 5\n" })
 	void shouldRefuseRequestWhenFramingIsAmbiguous(String framing) throws IOException {
-		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.ok(request, "x"));
+		try (ScriptedServer server = this.gateway.startServer((request, exchange) -> exchange.ok(request, "x"));
 				RawCaller caller = this.gateway.caller()) {
 			caller.send("POST /visits/ HTTP/1.1\r\nHost: a.example\r\nCall: c1\r\nKey: key-1\r\n" + framing
 					+ "\r\n0\r\n\r\nGET /sheets/ HTTP/1.1\r\nHost: a.example\r\nCall: c2\r\nKey: key-1\r\n\r\n");
@@ -200,7 +200,7 @@
 	@Test
 	void shouldRefuseRequestWhenItHasTwoHosts() throws IOException {
 		this.gateway.declare().ready();
-		assertThat(this.gateway.ask("GET /sheets/ HTTP/1.1\r\nHost: a.example\r\nHost: b.example\r\n\r\n").status())
+		assertThat(this.gateway.send("GET /sheets/ HTTP/1.1\r\nHost: a.example\r\nHost: b.example\r\n\r\n").status())
 			.isEqualTo(400);
 	}
 
@@ -211,9 +211,9 @@
 					GatewayHarness.organisation(0)))
 			.ready();
 		assertThat(this.gateway
-			.ask(RawCaller.get("c1", "/sheets/").replace("Key:", "X: " + "y".repeat(3_000) + "\r\nKey:"))
+			.send(RawCaller.get("c1", "/sheets/").replace("Key:", "X: " + "y".repeat(3_000) + "\r\nKey:"))
 			.status()).isEqualTo(431);
-		assertThat(this.gateway.ask(RawCaller.post("c2", "/visits/", "x".repeat(1_001))).status()).isEqualTo(413);
+		assertThat(this.gateway.send(RawCaller.post("c2", "/visits/", "x".repeat(1_001))).status()).isEqualTo(413);
 	}
 
 	@Test
@@ -232,7 +232,7 @@
 
 	@Test
 	void shouldForwardEventsAsTheyArrive() throws IOException {
-		try (ScriptedServer server = this.gateway.serving((request, exchange) -> {
+		try (ScriptedServer server = this.gateway.startServer((request, exchange) -> {
 			exchange.write(EVENTS + "Call: " + request.call() + "\r\n\r\n");
 			exchange.write(chunk("id: 1\ndata: a\n\n"));
 			exchange.hold();
@@ -258,11 +258,11 @@
 				exchange.write(chunk("id: 2\ndata: b\n\n") + chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n");
 			}
 		};
-		try (ScriptedServer first = this.gateway.serving(script);
+		try (ScriptedServer first = this.gateway.startServer(script);
 				ScriptedServer second = ScriptedServer.start(script)) {
 			this.gateway.register("s2", second);
-			GatewayHarness.await(() -> this.gateway.knows("s2"));
-			Answer response = this.gateway.ask(RawCaller.post("c1", "/summaries/", "x"));
+			GatewayHarness.await(() -> this.gateway.knowsServer("s2"));
+			Response response = this.gateway.send(RawCaller.post("c1", "/summaries/", "x"));
 			assertThat(response.complete()).isTrue();
 			assertThat(response.body()).isEqualTo("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
 			assertThat(Stream.of(first, second).flatMap((server) -> server.requests().stream()))
@@ -275,11 +275,11 @@
 	// response for a complete one.
 	@Test
 	void shouldEndResponseIncompleteWhenStreamBreaks() throws IOException {
-		try (ScriptedServer server = this.gateway.serving((request, exchange) -> {
+		try (ScriptedServer server = this.gateway.startServer((request, exchange) -> {
 			exchange.write(EVENTS + "Call: " + request.call() + "\r\n\r\n" + chunk("id: 1\ndata: a\n\n"));
 			exchange.reset();
 		})) {
-			Answer response = this.gateway.ask(RawCaller.post("c1", "/drafts/", "x"));
+			Response response = this.gateway.send(RawCaller.post("c1", "/drafts/", "x"));
 			assertThat(response.complete()).isFalse();
 			assertThat(server.requests()).hasSize(1);
 		}
@@ -292,7 +292,7 @@
 	@ParameterizedTest
 	@ValueSource(strings = { "/sheets/", "/visits/", "/drafts/" })
 	void shouldEndCallAtServerWhenCallerDisconnects(String path) throws Exception {
-		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.hold())) {
+		try (ScriptedServer server = this.gateway.startServer((request, exchange) -> exchange.hold())) {
 			try (RawCaller caller = this.gateway.caller()) {
 				caller.send(RawCaller.post("c1", path, "x"));
 				GatewayHarness.await(() -> !server.requests().isEmpty());
@@ -303,8 +303,8 @@
 
 	@Test
 	void shouldRespondAndFreeServerWhenRouteTimesOut() throws Exception {
-		try (ScriptedServer server = this.gateway.serving((request, exchange) -> exchange.hold())) {
-			assertThat(this.gateway.ask(RawCaller.get("c1", "/short/")).status()).isEqualTo(504);
+		try (ScriptedServer server = this.gateway.startServer((request, exchange) -> exchange.hold())) {
+			assertThat(this.gateway.send(RawCaller.get("c1", "/short/")).status()).isEqualTo(504);
 			assertThat(server.awaitDisconnect()).isTrue();
 		}
 	}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayHarness.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayHarness.java
@@ -19,7 +19,7 @@
 import org.rosemaryfront.routes.CallKind;
 import org.rosemaryfront.routes.CallerLimits;
 import org.rosemaryfront.routes.Organisation;
-import org.rosemaryfront.routes.Organisation.Counts;
+import org.rosemaryfront.routes.Organisation.QuotaUnit;
 import org.rosemaryfront.routes.Route;
 import org.rosemaryfront.routes.ServiceSpec;
 import org.rosemaryfront.routes.TrafficConfiguration;
@@ -56,7 +56,7 @@
 
 	final MemoryRowStore store;
 
-	final FaultInjectingStore access;
+	final FaultInjectingStore storeAccess;
 
 	final PlainCodecs codecs;
 
@@ -84,13 +84,13 @@
 	private GatewayHarness(String name, long usageWindowMillis, long stopMillis, long quotaWindowMillis,
 			MemoryRowStore store, PlainCodecs codecs) {
 		this.store = store;
-		this.access = new FaultInjectingStore(store);
+		this.storeAccess = new FaultInjectingStore(store);
 		this.codecs = codecs;
 		this.settings = settings(name, new GatewaySettings.Bounds(stopMillis, 100, 0.2, 64, RETRY_WINDOW_MILLIS,
 				quotaWindowMillis, 0, usageWindowMillis, CHANGE_MILLIS, HEARTBEAT_MILLIS, EXPOSURE_SHARE));
 		this.loops = LoopResources.create("test", 1, true);
 		this.process = GatewayProcess.start(this.settings,
-				new Platform(this.codecs, this.access, this.codecs, this.duties), this.loops);
+				new Platform(this.codecs, this.storeAccess, this.codecs, this.duties), this.loops);
 		this.startedNanos = System.nanoTime();
 	}
 
@@ -157,7 +157,7 @@
 	}
 
 	static Organisation organisation(double unitsPerSecond) {
-		return new Organisation("sfax", List.of("key-1"), OptionalInt.empty(), unitsPerSecond, 1, Counts.REQUESTS, 1);
+		return new Organisation("sfax", List.of("key-1"), OptionalInt.empty(), unitsPerSecond, 1, QuotaUnit.REQUESTS, 1);
 	}
 
 	private static Route route(String name, String prefix, CallKind kind, int attempts, boolean resumable,
@@ -196,7 +196,7 @@
 	 * @param script the behaviour of the server
 	 * @return the server, registered as {@code s1}
 	 */
-	ScriptedServer serving(ScriptedServer.Script script) throws IOException {
+	ScriptedServer startServer(ScriptedServer.Script script) throws IOException {
 		ScriptedServer server = ScriptedServer.start(script);
 		declare().register("s1", server).ready();
 		return server;
@@ -219,7 +219,7 @@
 		return new RawCaller(this.settings.callers());
 	}
 
-	RawCaller.Answer ask(String request) throws IOException {
+	RawCaller.Response send(String request) throws IOException {
 		try (RawCaller caller = caller()) {
 			return caller.send(request).read();
 		}
@@ -268,8 +268,8 @@
 		return Flux.interval(Duration.ZERO, TICK).subscribe((_) -> watch.tick(Role.STAND_BY, System.nanoTime()));
 	}
 
-	static FollowedTable table() {
-		return new FollowedTable(Freshness.unproven(2 * HEARTBEAT_MILLIS * 1_000_000));
+	static TableReplica table() {
+		return new TableReplica(Freshness.unconfirmed(2 * HEARTBEAT_MILLIS * 1_000_000));
 	}
 
 	/**
@@ -280,7 +280,7 @@
 		return this.process.liveGateways();
 	}
 
-	boolean knows(String server) {
+	boolean knowsServer(String server) {
 		return this.process.knowsServer(server);
 	}
 
