--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayProcessTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayProcessTests.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import org.rosemaryfront.gateway.RawCaller.Answer;
+import org.rosemaryfront.gateway.RawCaller.Response;
 import org.rosemaryfront.gateway.RecordedDuties.Usage;
 import org.rosemaryfront.routes.CallerLimits;
 import org.rosemaryfront.routes.Organisation;
@@ -30,7 +30,7 @@
 	void shouldApplyOnlyNewerConfigurationWhenSeveralAreWritten() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start()) {
 			gateway.declare().ready();
-			assertThat(gateway.ask(RawCaller.get("c1", "/sheets/")).status()).isEqualTo(503);
+			assertThat(gateway.send(RawCaller.get("c1", "/sheets/")).status()).isEqualTo(503);
 			gateway.declare(GatewayHarness.configuration(5, CallerLimits.INITIAL));
 			GatewayHarness.await(() -> status(gateway, "no-key") != 401);
 			gateway.declare(GatewayHarness.configuration(4, CallerLimits.INITIAL, GatewayHarness.organisation(0)));
@@ -55,11 +55,11 @@
 	void shouldApplyConfigurationWhenWrittenDuringOutageAndHistoryIsLost() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start()) {
 			gateway.declare().ready();
-			gateway.store.away(true);
+			gateway.store.setUnavailable(true);
 			gateway.declare(GatewayHarness.configuration(7, CallerLimits.INITIAL));
 			gateway.store.forgetHistory();
 			assertThat(status(gateway, "no-key")).isEqualTo(401);
-			gateway.store.away(false);
+			gateway.store.setUnavailable(false);
 			GatewayHarness.await(() -> status(gateway, "no-key") != 401);
 		}
 	}
@@ -73,11 +73,11 @@
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			other.declare().register("s1", server).ready();
 			GatewayHarness.await(() -> status(gateway, "key-1") == 200 && gateway.liveGateways() == 2);
-			gateway.access.deny();
+			gateway.storeAccess.rejectAll();
 			other.store.put(GatewayHarness.SERVERS, "s1", "app " + server.address() + " leaving");
 			GatewayHarness.await(() -> status(gateway, "key-1") == 503);
 			other.declare(GatewayHarness.configuration(9, CallerLimits.INITIAL, new Organisation("sfax",
-					List.of("key-9"), OptionalInt.empty(), 0, 0, Organisation.Counts.REQUESTS, 1)));
+					List.of("key-9"), OptionalInt.empty(), 0, 0, Organisation.QuotaUnit.REQUESTS, 1)));
 			GatewayHarness.await(() -> status(gateway, "key-1") == 401);
 		}
 	}
@@ -108,7 +108,7 @@
 			gateway.store.put(GatewayHarness.SERVERS, "s1", "app " + server.address() + " leaving 1000 v1 7");
 			gateway.store.put(GatewayHarness.SERVERS, "s1", "app " + server.address() + " ready 1000 v1 6");
 			gateway.store.put(GatewayHarness.SERVERS, "s2", "app " + server.address() + " leaving");
-			GatewayHarness.await(() -> gateway.knows("s2"));
+			GatewayHarness.await(() -> gateway.knowsServer("s2"));
 			assertThat(status(gateway, "key-1")).isEqualTo(503);
 		}
 	}
@@ -155,7 +155,7 @@
 			gateway.declare().register("s1", server).ready();
 			for (int i = 0; i < 80; i++) {
 				String prompt = "Prompt: a:300,own" + i + ":" + (20 + i) + "\r\nKey:";
-				gateway.ask(RawCaller.post("c" + i, "/drafts/", "x").replace("Key:", prompt));
+				gateway.send(RawCaller.post("c" + i, "/drafts/", "x").replace("Key:", prompt));
 			}
 			GatewayHarness.await(() -> !gateway.learnedRates().isEmpty());
 			// A local server responds immediately, so the learned rate is far below the
@@ -174,7 +174,7 @@
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
 			GatewayHarness.await(() -> gateway.store.waitingRequests(GatewayHarness.SERVERS) == 1);
-			gateway.access.dropOutstanding();
+			gateway.storeAccess.dropOutstanding();
 			gateway.store.put(GatewayHarness.SERVERS, "s1", "app " + server.address() + " leaving");
 			GatewayHarness.await(() -> status(gateway, "key-1") == 503);
 		}
@@ -188,13 +188,13 @@
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
 			GatewayHarness.await(() -> gateway.store.waitingRequests(GatewayHarness.SERVERS) == 1);
-			gateway.access.failOutstanding();
+			gateway.storeAccess.failOutstanding();
 			gateway.store.put(GatewayHarness.SERVERS, "s2", "app " + server.address() + " ready");
-			GatewayHarness.await(() -> gateway.knows("s2"));
+			GatewayHarness.await(() -> gateway.knowsServer("s2"));
 			gateway.store.remove(GatewayHarness.SERVERS, "s1");
 			gateway.store.put(GatewayHarness.SERVERS, "s3", "app " + server.address() + " ready");
-			GatewayHarness.await(() -> gateway.knows("s3"));
-			assertThat(gateway.knows("s1")).isFalse();
+			GatewayHarness.await(() -> gateway.knowsServer("s3"));
+			assertThat(gateway.knowsServer("s1")).isFalse();
 		}
 	}
 
@@ -205,14 +205,14 @@
 		try (GatewayHarness gateway = GatewayHarness.start();
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
-			gateway.store.away(true);
+			gateway.store.setUnavailable(true);
 			Thread.sleep(3_000);
 			gateway.store.remove(GatewayHarness.SERVERS, "s1");
 			gateway.store.put(GatewayHarness.SERVERS, "s2", "app " + server.address() + " ready");
-			gateway.store.away(false);
-			GatewayHarness.await(() -> gateway.knows("s2"));
-			assertThat(gateway.knows("s1")).isTrue();
-			GatewayHarness.await(() -> !gateway.knows("s1"));
+			gateway.store.setUnavailable(false);
+			GatewayHarness.await(() -> gateway.knowsServer("s2"));
+			assertThat(gateway.knowsServer("s1")).isTrue();
+			GatewayHarness.await(() -> !gateway.knowsServer("s1"));
 		}
 	}
 
@@ -222,10 +222,10 @@
 				ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
 			GatewayHarness.await(() -> status(gateway, "key-1") == 200);
-			gateway.store.away(true);
+			gateway.store.setUnavailable(true);
 			assertThat(status(gateway, "key-1")).isEqualTo(200);
 			assertThat(gateway.readiness()).isEqualTo(200);
-			gateway.store.away(false);
+			gateway.store.setUnavailable(false);
 		}
 	}
 
@@ -236,13 +236,13 @@
 	@Test
 	void shouldLimitRetriesWhenStoreRejectsCounts() throws Exception {
 		try (GatewayHarness gateway = GatewayHarness.startWithUsageWindow(1_000);
-				ScriptedServer _ = gateway.serving((request, exchange) -> exchange.ok(request, "x"))) {
+				ScriptedServer _ = gateway.startServer((request, exchange) -> exchange.ok(request, "x"))) {
 			assertThat(status(gateway, "key-1")).isEqualTo(200);
-			gateway.store.away(true);
-			GatewayHarness.await(() -> gateway.store.refusedCommits("usage") > 0);
+			gateway.store.setUnavailable(true);
+			GatewayHarness.await(() -> gateway.store.rejectedCommits("usage") > 0);
 			Thread.sleep(2_000);
-			assertThat(gateway.store.refusedCommits("usage")).isLessThan(10);
-			gateway.store.away(false);
+			assertThat(gateway.store.rejectedCommits("usage")).isLessThan(10);
+			gateway.store.setUnavailable(false);
 		}
 	}
 
@@ -317,7 +317,7 @@
 			GatewayHarness.await(() -> !holder.duties.usages().isEmpty());
 			try (GatewayHarness rejected = GatewayHarness.startSecond(holder).ready()) {
 				GatewayHarness.await(() -> holder.liveGateways() == 2 && rejected.liveGateways() == 2);
-				rejected.access.deny();
+				rejected.storeAccess.rejectAll();
 				for (int i = 0; i < 20; i++) {
 					status(rejected, "key-1");
 				}
@@ -349,7 +349,7 @@
 			GatewayHarness.await(() -> gateway.readiness() != 200);
 			GatewayHarness.await(() -> refuses(gateway, "/nowhere/"));
 			go.complete(null);
-			Answer answer = caller.read();
+			Response answer = caller.read();
 			assertThat(answer.body()).isEqualTo("late");
 			assertThat(answer.head().toLowerCase(Locale.ROOT)).contains("connection: close");
 			stopped.get(10, TimeUnit.SECONDS);
@@ -378,8 +378,8 @@
 			GatewayHarness.await(() -> !server.requests().isEmpty());
 			CompletableFuture<Void> stopped = CompletableFuture.runAsync(gateway::stop);
 			GatewayHarness.await(() -> refuses(gateway, "/nowhere/"));
-			Answer refused = gateway.ask(RawCaller.post("c2", "/visits/", "x"));
-			assertThat(refused.says("retry-after")).isTrue();
+			Response refused = gateway.send(RawCaller.post("c2", "/visits/", "x"));
+			assertThat(refused.hasHeader("retry-after")).isTrue();
 			go.complete(null);
 			assertThat(caller.read().status()).isEqualTo(200);
 			stopped.get(10, TimeUnit.SECONDS);
@@ -409,8 +409,8 @@
 			GatewayHarness.await(() -> !server.requests().isEmpty());
 			CompletableFuture<Void> stopped = CompletableFuture.runAsync(gateway::stop);
 			GatewayHarness.await(() -> refuses(gateway, "/nowhere/"));
-			assertThat(gateway.ask(RawCaller.post("c2", "/visits/", "x")).status()).isEqualTo(503);
-			assertThat(gateway.ask(RawCaller.get("c3", "/short/")).status()).isEqualTo(200);
+			assertThat(gateway.send(RawCaller.post("c2", "/visits/", "x")).status()).isEqualTo(503);
+			assertThat(gateway.send(RawCaller.get("c3", "/short/")).status()).isEqualTo(200);
 			go.complete(null);
 			stopped.get(10, TimeUnit.SECONDS);
 			assertThat(countedCalls(gateway)).isEqualTo(server.requests().size());
@@ -468,11 +468,11 @@
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.declare().register("s1", server).ready();
 			assertThat(status(gateway, "key-1")).isEqualTo(200);
-			gateway.access.rejectWrites(true);
+			gateway.storeAccess.rejectWrites(true);
 			CompletableFuture<Void> stopped = CompletableFuture.runAsync(gateway::stop);
 			GatewayHarness.await(() -> refuses(gateway, "/short/"));
 			assertThat(stopped).isNotDone();
-			gateway.access.rejectWrites(false);
+			gateway.storeAccess.rejectWrites(false);
 			stopped.get(10, TimeUnit.SECONDS);
 		}
 		finally {
@@ -496,7 +496,7 @@
 	// without calling a server.
 	private static boolean refuses(GatewayHarness gateway, String path) {
 		try {
-			return gateway.ask(RawCaller.get("c9", path)).status() == 503;
+			return gateway.send(RawCaller.get("c9", path)).status() == 503;
 		}
 		catch (IOException ex) {
 			throw new AssertionError(ex);
@@ -514,7 +514,7 @@
 
 	private static int status(GatewayHarness gateway, String key) {
 		try {
-			return gateway.ask(RawCaller.get("c1", "/sheets/").replace("key-1", key)).status();
+			return gateway.send(RawCaller.get("c1", "/sheets/").replace("key-1", key)).status();
 		}
 		catch (IOException ex) {
 			throw new AssertionError(ex);
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/MemoryRowStore.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/MemoryRowStore.java
@@ -28,10 +28,10 @@
 
 	private long historyStart;
 
-	private boolean away;
+	private boolean unavailable;
 
 	/** Commits rejected during an outage, by table. */
-	private final Map<String, Integer> refusedCommits = new HashMap<>();
+	private final Map<String, Integer> rejectedCommits = new HashMap<>();
 
 	private boolean closed;
 
@@ -50,8 +50,8 @@
 		notifyAll();
 	}
 
-	synchronized void away(boolean now) {
-		this.away = now;
+	synchronized void setUnavailable(boolean now) {
+		this.unavailable = now;
 		notifyAll();
 	}
 
@@ -60,8 +60,8 @@
 	 * @param table the table
 	 * @return the count
 	 */
-	synchronized int refusedCommits(String table) {
-		return this.refusedCommits.getOrDefault(table, 0);
+	synchronized int rejectedCommits(String table) {
+		return this.rejectedCommits.getOrDefault(table, 0);
 	}
 
 	/**
@@ -106,8 +106,8 @@
 	}
 
 	private synchronized Outcome applyCommit(Commit commit) {
-		if (this.away) {
-			this.refusedCommits.merge(commit.table(), 1, Integer::sum);
+		if (this.unavailable) {
+			this.rejectedCommits.merge(commit.table(), 1, Integer::sum);
 		}
 		checkAvailable();
 		TreeMap<String, Row> rows = this.tables.computeIfAbsent(commit.table(), (_) -> new TreeMap<>());
@@ -156,7 +156,7 @@
 	}
 
 	private void checkAvailable() {
-		if (this.away) {
+		if (this.unavailable) {
 			throw StoreException.of(Reason.UNAVAILABLE, Verdict.notRun(), "away");
 		}
 	}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/MetricNamesTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/MetricNamesTests.java
@@ -23,10 +23,10 @@
 	@Test
 	void shouldKeepNamesOfMetricsWhenCallsAreAnsweredAndRefused() throws IOException {
 		try (GatewayHarness gateway = GatewayHarness.start();
-				ScriptedServer _ = gateway.serving((request, exchange) -> exchange.ok(request, "x"))) {
+				ScriptedServer _ = gateway.startServer((request, exchange) -> exchange.ok(request, "x"))) {
 			gateway.store.put(GatewayHarness.SERVERS, "s9", "unreadable");
-			assertThat(gateway.ask(RawCaller.get("c1", "/sheets/")).status()).isEqualTo(200);
-			assertThat(gateway.ask(RawCaller.get("c2", "/nowhere/")).status()).isEqualTo(404);
+			assertThat(gateway.send(RawCaller.get("c1", "/sheets/")).status()).isEqualTo(200);
+			assertThat(gateway.send(RawCaller.get("c2", "/nowhere/")).status()).isEqualTo(404);
 			GatewayHarness.await(() -> names(gateway).size() >= NAMES.size());
 			assertThat(names(gateway)).containsExactlyInAnyOrderElementsOf(NAMES);
 		}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PauseWatchTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PauseDetectorTests.java
@@ -7,7 +7,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class PauseWatchTests {
+class PauseDetectorTests {
 
 	private static final long EPOCH = 1_770_000_000_000L;
 
@@ -20,10 +20,10 @@
 			"50, -1950, Running", "650, 1200, Suspended", "50, 400, Running" })
 	void shouldDistinguishSuspensionFromPause(long monotonicMillis, long wallClockMillis, String finding) {
 		for (long start : new long[] { 0, -5, Long.MAX_VALUE - 7 }) {
-			PauseWatch watch = new PauseWatch(start, EPOCH);
+			PauseDetector watch = new PauseDetector(start, EPOCH);
 			long now = start + TimeUnit.MILLISECONDS.toNanos(monotonicMillis);
-			assertThat(watch.look(now, EPOCH + wallClockMillis).getClass().getSimpleName()).isEqualTo(finding);
-			assertThat(watch.look(now, EPOCH + wallClockMillis)).isEqualTo(new PauseWatch.Finding.Running());
+			assertThat(watch.check(now, EPOCH + wallClockMillis).getClass().getSimpleName()).isEqualTo(finding);
+			assertThat(watch.check(now, EPOCH + wallClockMillis)).isEqualTo(new PauseDetector.Observation.Running());
 		}
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PlainCodecs.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PlainCodecs.java
@@ -11,12 +11,12 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 import org.rosemaryfront.dispatch.BackendServer;
-import org.rosemaryfront.ports.AnswerTerms;
+import org.rosemaryfront.ports.ResponseMetadata;
 import org.rosemaryfront.ports.CallCodec;
-import org.rosemaryfront.ports.CallTerms;
-import org.rosemaryfront.ports.CallTerms.Part;
-import org.rosemaryfront.ports.CallTerms.Prompt;
-import org.rosemaryfront.ports.Handover;
+import org.rosemaryfront.ports.CallMetadata;
+import org.rosemaryfront.ports.CallMetadata.Segment;
+import org.rosemaryfront.ports.CallMetadata.Prompt;
+import org.rosemaryfront.ports.ForwardingMetadata;
 import org.rosemaryfront.ports.RecordCodec;
 import org.rosemaryfront.rollout.Phase;
 import org.rosemaryfront.rollout.RolloutOrder;
@@ -43,9 +43,9 @@
 	// -- calls
 
 	@Override
-	public CallTerms terms(HttpHeaders headers) {
+	public CallMetadata callMetadata(HttpHeaders headers) {
 		String millis = headers.get("Remaining");
-		return new CallTerms(headers.get("Call", ""),
+		return new CallMetadata(headers.get("Call", ""),
 				(millis != null) ? OptionalLong.of(Long.parseLong(millis)) : OptionalLong.empty(),
 				Optional.ofNullable(headers.get("Key")),
 				Optional.ofNullable(headers.get("Prompt")).map(PlainCodecs::prompt));
@@ -54,15 +54,15 @@
 	// A prompt is a list of segments "name:tokens", the last of which belongs to the call
 	// alone.
 	private static Prompt prompt(String text) {
-		List<Part> parts = Stream.of(text.split(","))
+		List<Segment> parts = Stream.of(text.split(","))
 			.map((part) -> part.split(":"))
-			.map((part) -> new Part(part[0], Integer.parseInt(part[1])))
+			.map((part) -> new Segment(part[0], Integer.parseInt(part[1])))
 			.toList();
-		return new Prompt(parts.stream().mapToInt(Part::tokens).sum(), 10, parts);
+		return new Prompt(parts.stream().mapToInt(Segment::tokens).sum(), 10, parts);
 	}
 
 	@Override
-	public void handOver(HttpHeaders headers, Handover handover) {
+	public void toServerHeaders(HttpHeaders headers, ForwardingMetadata handover) {
 		headers.remove("Key");
 		headers.set("Remaining", handover.remainingMillis());
 		headers.set("Server", handover.serverId());
@@ -72,35 +72,35 @@
 	}
 
 	@Override
-	public AnswerTerms answer(int status, HttpHeaders headers) {
-		return new AnswerTerms(headers.get("Call", ""), headers.contains("Signature"), headers.contains("Not-Run"));
+	public ResponseMetadata responseMetadata(int status, HttpHeaders headers) {
+		return new ResponseMetadata(headers.get("Call", ""), headers.contains("Signature"), headers.contains("Not-Run"));
 	}
 
 	@Override
-	public void handBack(HttpHeaders headers) {
+	public void toCallerHeaders(HttpHeaders headers) {
 		headers.remove("Not-Run");
 	}
 
 	// -- rows
 
 	@Override
-	public Place configuration() {
-		return new Place("declared", "traffic");
+	public RowLocation configuration() {
+		return new RowLocation("declared", "traffic");
 	}
 
 	@Override
-	public String servers() {
+	public String serversTable() {
 		return "servers";
 	}
 
 	@Override
-	public Optional<String> rolloutOf(String key) {
+	public Optional<String> rolloutService(String key) {
 		return key.startsWith(ROLLOUT) ? Optional.of(key.substring(ROLLOUT.length())) : Optional.empty();
 	}
 
 	// A row is "version millis".
 	@Override
-	public RolloutOrder rollout(String service, byte[] value, long version) {
+	public RolloutOrder rolloutOrder(String service, byte[] value, long version) {
 		String[] parts = new String(value, StandardCharsets.UTF_8).split(" ");
 		if (parts.length != 2) {
 			throw new IllegalArgumentException("invalid roll-out order");
@@ -109,8 +109,8 @@
 	}
 
 	@Override
-	public Place rolloutState(String service) {
-		return new Place("states", service);
+	public RowLocation rolloutState(String service) {
+		return new RowLocation("states", service);
 	}
 
 	@Override
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/QuotaSharingTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/QuotaSharingTests.java
@@ -27,12 +27,12 @@
 	@Test
 	void shouldEnforceQuotaWhenStoreIsUnavailableAtStart() throws Exception {
 		MemoryRowStore store = new MemoryRowStore();
-		store.away(true);
+		store.setUnavailable(true);
 		List<GatewayHarness> fleet = GatewayHarness.startFleet(store, 3, WINDOW_MILLIS);
 		try (ScriptedServer server = ScriptedServer.start((request, exchange) -> exchange.ok(request, "x"))) {
 			// Long enough for the first read to fail.
 			Thread.sleep(500);
-			store.away(false);
+			store.setUnavailable(false);
 			fleet.getFirst()
 				.declare(GatewayHarness.configuration(1, CallerLimits.INITIAL,
 						GatewayHarness.organisation(CALLS_PER_SECOND)));
@@ -62,7 +62,7 @@
 
 	private static Void sendCalls(GatewayHarness gateway, long untilNanos) throws IOException, InterruptedException {
 		while (System.nanoTime() - untilNanos < 0) {
-			gateway.ask(RawCaller.get("c1", "/sheets/"));
+			gateway.send(RawCaller.get("c1", "/sheets/"));
 			Thread.sleep(2);
 		}
 		return null;
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RawCaller.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RawCaller.java
@@ -37,13 +37,13 @@
 	 * Reads one response.
 	 * @return the response; {@code whole} is false if the connection ended within it
 	 */
-	Answer read() throws IOException {
+	Response read() throws IOException {
 		InputStream in = this.socket.getInputStream();
 		StringBuilder head = new StringBuilder();
 		while (head.indexOf("\r\n\r\n") < 0) {
 			int next = in.read();
 			if (next < 0) {
-				return new Answer(head.toString(), "", false);
+				return new Response(head.toString(), "", false);
 			}
 			head.append((char) next);
 		}
@@ -54,25 +54,25 @@
 		int at = lower.indexOf("content-length:");
 		int length = (at < 0) ? 0 : Integer.parseInt(lower.substring(at + 15, lower.indexOf("\r\n", at)).trim());
 		byte[] body = in.readNBytes(length);
-		return new Answer(head.toString(), new String(body, StandardCharsets.UTF_8), body.length == length);
+		return new Response(head.toString(), new String(body, StandardCharsets.UTF_8), body.length == length);
 	}
 
-	private static Answer chunks(String head, InputStream in) throws IOException {
+	private static Response chunks(String head, InputStream in) throws IOException {
 		StringBuilder body = new StringBuilder();
 		while (true) {
 			String line = line(in);
 			if (line.isEmpty()) {
-				return new Answer(head, body.toString(), false);
+				return new Response(head, body.toString(), false);
 			}
 			int size = Integer.parseInt(line, 16);
 			byte[] chunk = in.readNBytes(size);
 			body.append(new String(chunk, StandardCharsets.UTF_8));
 			if (chunk.length < size) {
-				return new Answer(head, body.toString(), false);
+				return new Response(head, body.toString(), false);
 			}
 			line(in);
 			if (size == 0) {
-				return new Answer(head, body.toString(), true);
+				return new Response(head, body.toString(), true);
 			}
 		}
 	}
@@ -142,13 +142,13 @@
 	 * @param body the body
 	 * @param complete whether the response is complete
 	 */
-	record Answer(String head, String body, boolean complete) {
+	record Response(String head, String body, boolean complete) {
 
 		int status() {
 			return this.head.isEmpty() ? 0 : Integer.parseInt(this.head.split(" ")[1]);
 		}
 
-		boolean says(String header) {
+		boolean hasHeader(String header) {
 			return this.head.toLowerCase(Locale.ROOT).contains(header + ":");
 		}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RecordedDuties.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RecordedDuties.java
@@ -6,7 +6,7 @@
 
 import reactor.core.publisher.Mono;
 
-import org.rosemaryfront.duties.Size;
+import org.rosemaryfront.duties.PoolSize;
 import org.rosemaryfront.model.Verdict;
 import org.rosemaryfront.ports.Duties;
 import org.rosemaryfront.ports.StoreException;
@@ -17,7 +17,7 @@
 
 	private final List<Usage> usages = new CopyOnWriteArrayList<>();
 
-	private final List<Size> sizes = new CopyOnWriteArrayList<>();
+	private final List<PoolSize> sizes = new CopyOnWriteArrayList<>();
 
 	private volatile boolean losingResponses;
 
@@ -27,7 +27,7 @@
 		return this.usages;
 	}
 
-	List<Size> sizes() {
+	List<PoolSize> sizes() {
 		return this.sizes;
 	}
 
@@ -50,7 +50,7 @@
 	}
 
 	@Override
-	public Mono<Void> resize(long fence, Size order) {
+	public Mono<Void> resize(long fence, PoolSize order) {
 		return Mono.defer(() -> {
 			this.sizes.add(order);
 			return respond();
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ReportFormsTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ReportFormsTests.java
@@ -117,10 +117,10 @@
 	void shouldKeepNumberOfPhaseWhenItIsTold(Phase phase, int number) {
 		Rollouts teller = rollouts();
 		teller.ordered(new RolloutOrder("app", "v2", 4_000, 9));
-		RolloutNews news = teller.news((_) -> Optional.of(phase), 1).getFirst();
+		RolloutNews news = teller.updates((_) -> Optional.of(phase), 1).getFirst();
 		assertThat(hex(news.toByteArray())).isEqualTo("0a0361707012027632" + "18a01f" + "2009" + "280" + number);
 		Rollouts hearer = rollouts();
-		hearer.heard("gateway-2/1", teller.news((_) -> Optional.of(phase), 1), 1);
+		hearer.receive("gateway-2/1", teller.updates((_) -> Optional.of(phase), 1), 1);
 		assertThat(hearer.table().find("app").orElseThrow().phase()).isEqualTo(phase);
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RolloutDutyTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RolloutDutyTests.java
@@ -26,7 +26,7 @@
 			callUntil(gateway, "v2 SUCCEEDED");
 			int before = baseline.requests().size();
 			for (int i = 0; i < 20; i++) {
-				assertThat(gateway.ask(RawCaller.get("c" + i, "/sheets/")).status()).isEqualTo(200);
+				assertThat(gateway.send(RawCaller.get("c" + i, "/sheets/")).status()).isEqualTo(200);
 			}
 			assertThat(baseline.requests()).hasSize(before);
 		}
@@ -45,7 +45,7 @@
 			callUntil(gateway, "v2 ROLLED_BACK");
 			int before = candidate.requests().size();
 			for (int i = 0; i < 20; i++) {
-				assertThat(gateway.ask(RawCaller.get("c" + i, "/sheets/")).status()).isEqualTo(200);
+				assertThat(gateway.send(RawCaller.get("c" + i, "/sheets/")).status()).isEqualTo(200);
 			}
 			assertThat(candidate.requests()).hasSize(before);
 		}
@@ -65,7 +65,7 @@
 			callUntil(gateway, "v2 ROLLED_BACK");
 			int before = candidate.requests().size();
 			for (int i = 0; i < 20; i++) {
-				gateway.ask(RawCaller.get("c" + i, "/sheets/"));
+				gateway.send(RawCaller.get("c" + i, "/sheets/"));
 			}
 			assertThat(candidate.requests()).hasSize(before);
 		}
@@ -80,7 +80,7 @@
 			gateway.store.put("declared", "rollout/other", "v2 4000");
 			GatewayHarness.await(() -> state(gateway, "other").isPresent());
 			assertThat(state(gateway, "app")).isEmpty();
-			assertThat(gateway.ask(RawCaller.get("c1", "/sheets/")).status()).isEqualTo(200);
+			assertThat(gateway.send(RawCaller.get("c1", "/sheets/")).status()).isEqualTo(200);
 		}
 	}
 
@@ -89,14 +89,14 @@
 		gateway.declare().register("s1", baseline);
 		gateway.store.put(GatewayHarness.SERVERS, "s2", "app " + candidate.address() + " ready 1 v2");
 		gateway.ready();
-		GatewayHarness.await(() -> gateway.knows("s2"));
+		GatewayHarness.await(() -> gateway.knowsServer("s2"));
 	}
 
 	private static void callUntil(GatewayHarness gateway, String state) throws IOException {
 		long until = System.nanoTime() + AWAIT_NANOS;
 		while (!state(gateway, "app").equals(Optional.of(state))) {
 			assertThat(System.nanoTime()).as("waiting for " + state).isLessThan(until);
-			gateway.ask(RawCaller.get("c1", "/sheets/"));
+			gateway.send(RawCaller.get("c1", "/sheets/"));
 		}
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RowFormsTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RowFormsTests.java
@@ -15,7 +15,7 @@
 import org.rosemaryfront.crashes.Crash;
 import org.rosemaryfront.crashes.Evidence;
 import org.rosemaryfront.crashes.RequestDigest;
-import org.rosemaryfront.dispatch.BackendServer.Start;
+import org.rosemaryfront.dispatch.BackendServer.Incarnation;
 import org.rosemaryfront.dispatch.BackendTable;
 import org.rosemaryfront.duties.UsageLedger.Window;
 import org.rosemaryfront.rollout.RolloutOrder;
@@ -53,7 +53,7 @@
 	@ParameterizedTest
 	@CsvSource({ "CONFIRMED, false", "CLEARED, true" })
 	void shouldKeepFormOfCrashWhenServerCrashed(Evidence.State state, boolean cleared) {
-		Evidence evidence = new Evidence(new Crash(REQUEST, new Start("vm3", 5)), state, 11);
+		Evidence evidence = new Evidence(new Crash(REQUEST, new Incarnation("vm3", 5)), state, 11);
 		String key = "00000000000000070000000000000009/19e065fa4c3ba4d9";
 		String value = """
 				{"server":"vm3","startedMillis":5,"atMillis":11,"cleared":%s,"gateway":"gateway-1/1"}"""
@@ -99,7 +99,7 @@
 	@Test
 	void shouldKeepFormOfRolloutWhenOrderComes() {
 		RolloutDuty duty = rolloutDuty();
-		awaitRow("rollouts", "app", () -> duty.act(123, System.nanoTime()));
+		awaitRow("rollouts", "app", () -> duty.advance(123, System.nanoTime()));
 		assertRow("rollouts", "app", "{\"to\":\"v2\",\"number\":9,\"sinceMillis\":123,\"phase\":\"TRIAL\"}");
 	}
 
@@ -110,7 +110,7 @@
 				"{\"to\":\"v2\",\"number\":9,\"sinceMillis\":123,\"phase\":\"" + phase + "\"}");
 		RolloutDuty duty = rolloutDuty();
 		GatewayHarness.await(() -> {
-			this.control.accept(() -> duty.act(123, System.nanoTime()));
+			this.control.accept(() -> duty.advance(123, System.nanoTime()));
 			return duty.phase("app").isPresent();
 		});
 		assertThat(duty.phase("app").orElseThrow().ordinal()).isEqualTo(place);
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SendToLeavingServerTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SendToLeavingServerTests.java
@@ -76,22 +76,22 @@
 		}
 
 		@Override
-		public boolean stopping() {
+		public boolean isStopping() {
 			return false;
 		}
 
 		@Override
-		public boolean accepting(Optional<Route> route) {
+		public boolean acceptsNewCall(Optional<Route> route) {
 			return true;
 		}
 
 		@Override
-		public boolean isHeldBack(Call call) {
+		public boolean isQuarantined(Call call) {
 			return false;
 		}
 
 		@Override
-		public boolean takesCalls(BackendServer server) {
+		public boolean acceptsCalls(BackendServer server) {
 			return !server.equals(this.leaving);
 		}
 
@@ -101,7 +101,7 @@
 		}
 
 		@Override
-		public void began(Call call) {
+		public void runStarted(Call call) {
 		}
 
 		@Override
@@ -120,7 +120,7 @@
 		}
 
 		@Override
-		public void dropped(Call call) {
+		public void endedWithoutServer(Call call) {
 		}
 
 	}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SharedTablesTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SharedTablesTests.java
@@ -60,7 +60,7 @@
 		List<GatewayHarness> readers = this.fleet.stream().filter(GatewayHarness::readsTables).toList();
 		List<GatewayHarness> others = this.fleet.stream().filter((gateway) -> !readers.contains(gateway)).toList();
 		assertThat(others).hasSize(GATEWAYS - READERS);
-		readers.forEach((gateway) -> gateway.access.deny());
+		readers.forEach((gateway) -> gateway.storeAccess.rejectAll());
 		// The first change completes the queries that were sent before these gateways
 		// relied on the readers.
 		this.store.put(GatewayHarness.SERVERS, "s1", "app 127.0.0.1:1 ready");
@@ -75,7 +75,7 @@
 	}
 
 	private static void awaitKnown(List<GatewayHarness> gateways, String server) {
-		GatewayHarness.await(() -> gateways.stream().allMatch((gateway) -> gateway.knows(server)));
+		GatewayHarness.await(() -> gateways.stream().allMatch((gateway) -> gateway.knowsServer(server)));
 	}
 
 }
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SizeDutyTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SizeDutyTests.java
@@ -10,7 +10,7 @@
 
 import org.rosemaryfront.dispatch.BackendServer;
 import org.rosemaryfront.dispatch.BackendTable;
-import org.rosemaryfront.duties.Size;
+import org.rosemaryfront.duties.PoolSize;
 import org.rosemaryfront.routes.CallerLimits;
 import org.rosemaryfront.routes.ServiceSpec;
 import org.rosemaryfront.routes.ServiceSpec.EngineSpec;
@@ -39,7 +39,7 @@
 	@Test
 	void shouldOrderReclaimableServersWhenThereIsNoPlanYet() {
 		act(0);
-		assertThat(this.duties.sizes()).containsExactly(new Size("llm", "a", 2, true), new Size("llm", "b", 2, true));
+		assertThat(this.duties.sizes()).containsExactly(new PoolSize("llm", "a", 2, true), new PoolSize("llm", "b", 2, true));
 	}
 
 	// The running servers were released before their replacements served, which left no
@@ -49,13 +49,13 @@
 		registerOnDemand();
 		act(0);
 		act(2);
-		assertThat(this.duties.sizes()).allMatch(Size::reclaimable);
+		assertThat(this.duties.sizes()).allMatch(PoolSize::reclaimable);
 		register("r1", "a", true);
 		register("r2", "b", true);
 		register("r3", "a", true);
 		register("r4", "b", true);
 		act(4);
-		assertThat(this.duties.sizes()).contains(new Size("llm", "b", 0, false));
+		assertThat(this.duties.sizes()).contains(new PoolSize("llm", "b", 0, false));
 	}
 
 	// The servers of a service register within about three seconds of the start. A plan
@@ -73,7 +73,7 @@
 			register(id + "b", "b", true);
 		}
 		act(5);
-		assertThat(this.duties.sizes()).allMatch(Size::reclaimable);
+		assertThat(this.duties.sizes()).allMatch(PoolSize::reclaimable);
 		act(8);
 		assertThat(this.duties.sizes()).anyMatch((size) -> !size.reclaimable());
 		assertThat(this.duties.sizes()).noneMatch((size) -> size.reclaimable() && size.servers() < 2);
@@ -107,12 +107,12 @@
 		act(4);
 		int before = this.duties.sizes().size();
 		for (String id : List.of("r1b", "r2b")) {
-			this.servers.lapsed(id, 4 * SECOND_NANOS, OptionalLong.empty());
+			this.servers.recordLapse(id, 4 * SECOND_NANOS, OptionalLong.empty());
 		}
-		this.servers.expire(4 * SECOND_NANOS);
+		this.servers.removeExpired(4 * SECOND_NANOS);
 		this.duty.act(1, CONFIGURATION, 4 * SECOND_NANOS + SECOND_NANOS / 10);
 		assertThat(this.duties.sizes().subList(before, this.duties.sizes().size()))
-			.contains(new Size("llm", "b", 2, true));
+			.contains(new PoolSize("llm", "b", 2, true));
 	}
 
 	@Test
@@ -131,7 +131,7 @@
 	}
 
 	private void register(String id, String zone, boolean reclaimable) {
-		this.servers.registered(new BackendServer(id, 0, "llm", "v1", "127.0.0.1:1", zone, 64, false, reclaimable, 0),
+		this.servers.recordRegistration(new BackendServer(id, 0, "llm", "v1", "127.0.0.1:1", zone, 64, false, reclaimable, 0),
 				0);
 	}
 
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FollowedTableTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/TableReplicaTests.java
@@ -10,9 +10,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class FollowedTableTests {
+class TableReplicaTests {
 
-	private final FollowedTable table = GatewayHarness.table();
+	private final TableReplica table = GatewayHarness.table();
 
 	// Guards against applying another gateway's older table after newer changes from the
 	// store.
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/TableWatchTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/TableWatchTests.java
@@ -89,11 +89,11 @@
 	@Test
 	void shouldSendOwnChangeWhenRoleIsResting() {
 		MemoryRowStore store = new MemoryRowStore();
-		FollowedTable known = GatewayHarness.table();
+		TableReplica known = GatewayHarness.table();
 		PeerTables peers = new PeerTables(LoopResources.create("test", 1, true), List::of);
 		try (SharedTables tables = new SharedTables(store, peers)) {
 			tables.role(Role.RESTING);
-			tables.follow("servers", known, FreshnessLimits.usual(), new IgnoringListener());
+			tables.follow("servers", known, FreshnessLimits.defaults(), new IgnoringListener());
 			Disposable ticking = Flux.interval(Duration.ofMillis(10)).subscribe((_) -> tables.tick(System.nanoTime()));
 			store.put("servers", "s0", "x");
 			GatewayHarness.await(() -> known.version() == 1);
@@ -109,7 +109,7 @@
 	}
 
 	private static TableWatch watch(RowStore store, PeerTables peers) {
-		return TableWatch.of(store, "servers", GatewayHarness.table(), peers, FreshnessLimits.usual(),
+		return TableWatch.of(store, "servers", GatewayHarness.table(), peers, FreshnessLimits.defaults(),
 				new IgnoringListener());
 	}
 
@@ -121,11 +121,11 @@
 	private static final class IgnoringListener implements TableWatch.Listener {
 
 		@Override
-		public void all(List<RowStore.Row> rows, long version) {
+		public void tableRead(List<RowStore.Row> rows, long version) {
 		}
 
 		@Override
-		public void changed(List<RowStore.Row> rows, long version) {
+		public void rowsChanged(List<RowStore.Row> rows, long version) {
 		}
 
 	}
