--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityDecisions.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityDecisions.java
@@ -53,12 +53,12 @@
 	 * @return the status
 	 */
 	public CapacityStatus status() {
-		this.tables.group();
+		this.tables.groupByPool();
 		return new CapacityStatus(this.tables.isSynchronised(),
 				this.tables.pools.values()
 					.stream()
 					.map((row) -> new CapacityStatus.PoolStatus(row.pool.name(), row.target, row.plan.total(),
-							row.plan.survives(), (int) row.vms.stream().filter(row::isReady).count()))
+							row.plan.survives(), (int) row.vms.stream().filter(row::isServing).count()))
 					.toList(),
 				this.tables.vms.values().stream().map(CapacityDecisions::status).toList(),
 				this.tables.intents.values().stream().map((row) -> row.intent).toList());
@@ -66,7 +66,8 @@
 
 	private static CapacityStatus.VmStatus status(VmRow row) {
 		return new CapacityStatus.VmStatus(row.vm, row.draining, row.drainReason,
-				row.actual.map(ServerState::models).orElse(List.of()), row.actual.map(ServerState::running).orElse(0));
+				row.actualState.map(ServerState::models).orElse(List.of()),
+				row.actualState.map(ServerState::running).orElse(0));
 	}
 
 	// -- changes
@@ -79,19 +80,19 @@
 	 */
 	public List<CapacityCommand> tick(long nowNanos) {
 		List<CapacityCommand> commands = new ArrayList<>();
-		if (!this.tables.leading) {
+		if (!this.tables.leaseHeld) {
 			return commands;
 		}
-		ReadSystem.run(this.tables, nowNanos, commands);
-		this.tables.group();
+		PollSystem.run(this.tables, nowNanos, commands);
+		this.tables.groupByPool();
 		if (this.tables.isSynchronised()) {
-			SizeSystem.run(this.tables, nowNanos);
+			PoolSizeSystem.run(this.tables, nowNanos);
 			PlacementSystem.run(this.tables, nowNanos);
 			PurchaseSystem.run(this.tables, nowNanos, commands);
 			DrainSystem.run(this.tables, nowNanos, commands);
 			OrderSystem.run(this.tables, nowNanos, commands);
 		}
-		ReadSystem.readEngines(this.tables, nowNanos, commands);
+		PollSystem.readEngines(this.tables, nowNanos, commands);
 		return commands;
 	}
 
@@ -103,18 +104,19 @@
 	public void accept(CapacityEvent event, long nowNanos) {
 		switch (event) {
 			case CapacityEvent.LeaseTaken taken -> leaseTaken(taken.fence(), nowNanos);
-			case CapacityEvent.LeaseLost _ -> this.tables.leading = false;
-			case CapacityEvent.ConfigurationApplied applied -> configuration(applied.configuration(), nowNanos);
+			case CapacityEvent.LeaseLost _ -> this.tables.leaseHeld = false;
+			case CapacityEvent.ConfigurationApplied applied -> configurationApplied(applied.configuration(), nowNanos);
 			case CapacityEvent.OffersRead read -> offersRead(read.offers(), nowNanos);
 			case CapacityEvent.VmsRead read -> vmsRead(read, nowNanos);
 			case CapacityEvent.NoticesRead read -> noticesRead(read, nowNanos);
 			case CapacityEvent.LeavingLearned learned -> {
-				this.tables.leaving(learned.vm());
-				find(learned.vm()).ifPresent((row) -> row.drain(nowNanos, "said-to-be-leaving"));
+				this.tables.markLeaving(learned.vm());
+				find(learned.vm()).ifPresent((row) -> row.startDrain(nowNanos, "said-to-be-leaving"));
 			}
-			case CapacityEvent.ReadFailed failed -> ReadSystem.answered(this.tables, failed.what(), false, nowNanos);
+			case CapacityEvent.ReadFailed failed ->
+				PollSystem.readCompleted(this.tables, failed.source(), false, nowNanos);
 			case CapacityEvent.IntentsRead read -> intentsRead(read.intents(), nowNanos);
-			case CapacityEvent.IntentWritten written -> PurchaseSystem.written(this.tables, written.token());
+			case CapacityEvent.IntentWritten written -> PurchaseSystem.intentWritten(this.tables, written.token());
 			case CapacityEvent.IntentFailed failed -> PurchaseSystem.retry(this.tables, failed.token(), nowNanos);
 			case CapacityEvent.IntentDeleted deleted -> this.tables.intents.remove(deleted.token());
 			case CapacityEvent.Bought bought ->
@@ -123,13 +125,13 @@
 			case CapacityEvent.BuyUnknown unknown -> PurchaseSystem.retry(this.tables, unknown.token(), nowNanos);
 			case CapacityEvent.Released released -> this.tables.vms.remove(released.vm());
 			case CapacityEvent.ReleaseFailed failed -> find(failed.vm()).ifPresent((row) -> {
-				row.releasing = false;
+				row.releasePending = false;
 				row.nextReleaseNanos = nowNanos + this.tables.jittered(this.tables.settings.backOffMillis());
 			});
 			case CapacityEvent.StateRead read -> find(read.vm()).ifPresent((row) -> stateRead(row, read, nowNanos));
 			case CapacityEvent.StateUnknown unknown -> find(unknown.vm()).ifPresent((row) -> {
-				row.exchanging = false;
-				row.silentSinceNanos = OptionalLong.of(row.silentSinceNanos.orElse(nowNanos));
+				row.requestPending = false;
+				row.unresponsiveSinceNanos = OptionalLong.of(row.unresponsiveSinceNanos.orElse(nowNanos));
 				row.nextReadNanos = nowNanos + this.tables.jittered(this.tables.settings.pollMillis());
 			});
 		}
@@ -140,15 +142,15 @@
 	}
 
 	private void leaseTaken(long fence, long nowNanos) {
-		this.tables.leading = true;
+		this.tables.leaseHeld = true;
 		this.tables.fence = fence;
-		this.tables.leadingSinceNanos = nowNanos;
+		this.tables.leaseTakenNanos = nowNanos;
 		this.tables.intents.clear();
 		this.tables.vms.clear();
 		this.tables.sources.values().forEach(SourceRow::reset);
 	}
 
-	private void configuration(Configuration configuration, long nowNanos) {
+	private void configurationApplied(Configuration configuration, long nowNanos) {
 		this.tables.configuration = configuration;
 		Set<String> names = new HashSet<>();
 		configuration.all(Resource.Pool.class).forEach((pool) -> {
@@ -165,17 +167,17 @@
 			this.tables.offers.computeIfAbsent(offer.key(), (_) -> new OfferRow(offer)).offer = offer;
 		}
 		this.tables.offers.keySet().retainAll(keys);
-		ReadSystem.answered(this.tables, Source.OFFERS, true, nowNanos);
+		PollSystem.readCompleted(this.tables, Source.OFFERS, true, nowNanos);
 	}
 
 	private void vmsRead(CapacityEvent.VmsRead read, long nowNanos) {
-		Map<VmId, CloudVm> seen = new HashMap<>();
+		Map<VmId, CloudVm> listed = new HashMap<>();
 		for (CloudVm vm : read.vms()) {
 			if (vm.state() == State.GONE) {
 				continue;
 			}
-			seen.put(vm.id(), vm);
-			VmRow row = this.tables.row(vm, nowNanos);
+			listed.put(vm.id(), vm);
+			VmRow row = this.tables.findOrAdd(vm, nowNanos);
 			// A notice is final; a list that was made before it must not bring the VM
 			// back.
 			boolean stale = row.vm.state() == State.RECLAIMING && vm.state() == State.RUNNING;
@@ -187,18 +189,18 @@
 		}
 		// A VM bought after the list was asked for is missing in it and not gone.
 		this.tables.vms.values()
-			.removeIf((row) -> !seen.containsKey(row.id) && row.firstSeenNanos - read.askedNanos() < 0);
-		ReadSystem.answered(this.tables, Source.VMS, true, nowNanos);
+			.removeIf((row) -> !listed.containsKey(row.id) && row.firstSeenNanos - read.requestedNanos() < 0);
+		PollSystem.readCompleted(this.tables, Source.VMS, true, nowNanos);
 	}
 
 	private void noticesRead(CapacityEvent.NoticesRead read, long nowNanos) {
-		this.tables.lastNotice = Math.max(this.tables.lastNotice, read.last());
+		this.tables.lastNoticeNumber = Math.max(this.tables.lastNoticeNumber, read.lastNumber());
 		read.remainingMillis().keySet().forEach((vm) -> find(vm).ifPresent((row) -> {
-			CloudVm known = row.vm;
-			row.vm = new CloudVm(known.id(), known.token(), known.pool(), known.sort(), State.RECLAIMING,
-					known.address());
+			CloudVm previous = row.vm;
+			row.vm = new CloudVm(previous.id(), previous.token(), previous.pool(), previous.sort(), State.RECLAIMING,
+					previous.address());
 		}));
-		ReadSystem.answered(this.tables, Source.NOTICES, true, nowNanos);
+		PollSystem.readCompleted(this.tables, Source.NOTICES, true, nowNanos);
 	}
 
 	private void intentsRead(List<Intent> intents, long nowNanos) {
@@ -206,17 +208,17 @@
 			this.tables.intents.computeIfAbsent(intent.token(),
 					(_) -> new IntentRow(intent, "found", IntentRow.Phase.FOUND));
 		}
-		ReadSystem.answered(this.tables, Source.INTENTS, true, nowNanos);
+		PollSystem.readCompleted(this.tables, Source.INTENTS, true, nowNanos);
 	}
 
 	private void stateRead(VmRow row, CapacityEvent.StateRead read, long nowNanos) {
-		row.exchanging = false;
-		row.silentSinceNanos = OptionalLong.empty();
-		row.actual = Optional.of(read.state());
-		row.actualAskedNanos = read.askedNanos();
+		row.requestPending = false;
+		row.unresponsiveSinceNanos = OptionalLong.empty();
+		row.actualState = Optional.of(read.state());
+		row.stateRequestedNanos = read.requestedNanos();
 		// Entries keep "leaving" for good, so that a drained engine is never put back.
 		if (read.state().draining()) {
-			row.drain(nowNanos, "found-draining");
+			row.startDrain(nowNanos, "found-draining");
 		}
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityEvent.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityEvent.java
@@ -46,19 +46,19 @@
 	/**
 	 * The cloud's VMs were read.
 	 *
-	 * @param askedNanos when they were asked for
+	 * @param requestedNanos when they were asked for
 	 * @param vms all VMs
 	 */
-	record VmsRead(long askedNanos, List<CloudVm> vms) implements CapacityEvent {
+	record VmsRead(long requestedNanos, List<CloudVm> vms) implements CapacityEvent {
 	}
 
 	/**
 	 * Reclaim notices were read.
 	 *
-	 * @param last the number of the last one known now
+	 * @param lastNumber the number of the last one known now
 	 * @param remainingMillis the time that each reclaimed VM has left, in milliseconds
 	 */
-	record NoticesRead(long last, Map<VmId, Long> remainingMillis) implements CapacityEvent {
+	record NoticesRead(long lastNumber, Map<VmId, Long> remainingMillis) implements CapacityEvent {
 	}
 
 	/**
@@ -72,9 +72,9 @@
 	/**
 	 * A read of the platform failed; it is asked again later.
 	 *
-	 * @param what what was read
+	 * @param source what was read
 	 */
-	record ReadFailed(CapacityCommand.Source what) implements CapacityEvent {
+	record ReadFailed(CapacityCommand.Source source) implements CapacityEvent {
 	}
 
 	// -- purchases
@@ -158,10 +158,10 @@
 	 * A backend server said what it does, as an answer to a read or an order.
 	 *
 	 * @param vm the VM
-	 * @param askedNanos when it was asked
+	 * @param requestedNanos when it was asked
 	 * @param state its state
 	 */
-	record StateRead(VmId vm, long askedNanos, ServerState state) implements CapacityEvent {
+	record StateRead(VmId vm, long requestedNanos, ServerState state) implements CapacityEvent {
 	}
 
 	/**
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacitySettings.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacitySettings.java
@@ -32,7 +32,7 @@
 				0.75);
 	}
 
-	static long nanos(long millis) {
+	static long toNanos(long millis) {
 		return Duration.ofMillis(millis).toNanos();
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityTables.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityTables.java
@@ -15,7 +15,7 @@
 /** The entities that the capacity systems run over; owned by the control thread. */
 final class CapacityTables {
 
-	private static final int LEAVING_KEPT = 4_000;
+	private static final int MAX_LEAVING_VMS = 4_000;
 
 	final CapacitySettings settings;
 
@@ -36,15 +36,15 @@
 
 	Configuration configuration = Configuration.empty();
 
-	boolean leading;
+	boolean leaseHeld;
 
 	long fence;
 
-	long leadingSinceNanos;
+	long leaseTakenNanos;
 
-	long lastNotice;
+	long lastNoticeNumber;
 
-	long purchases;
+	long purchaseCount;
 
 	CapacityTables(CapacitySettings settings, long seed) {
 		this.settings = settings;
@@ -57,72 +57,72 @@
 	// Whether enough is known under this lease to act. Without the intents a purchase of
 	// an earlier holder would be made again, and without the VMs all would be.
 	boolean isSynchronised() {
-		return this.leading && this.configuration.revision() > 0
-				&& this.sources.values().stream().allMatch((source) -> source.known);
+		return this.leaseHeld && this.configuration.revision() > 0
+				&& this.sources.values().stream().allMatch((source) -> source.readUnderLease);
 	}
 
 	// When orders may go to a pool. Engines that ignore the fencing number may still take
 	// an order of the holder before, as long as it is valid.
-	long ordersFromNanos(PoolRow pool) {
+	long ordersAllowedFromNanos(PoolRow pool) {
 		return pool.ignoresFencing()
-				? this.leadingSinceNanos + CapacitySettings.nanos(this.settings.orderValidityMillis())
-				: this.leadingSinceNanos;
+				? this.leaseTakenNanos + CapacitySettings.toNanos(this.settings.orderValidityMillis())
+				: this.leaseTakenNanos;
 	}
 
 	// Whether the engine's answer is recent enough to act on under this lease.
-	boolean isKnown(PoolRow pool, VmRow row) {
-		return row.actual.isPresent() && row.actualAskedNanos - ordersFromNanos(pool) >= 0;
+	boolean isStateCurrent(PoolRow pool, VmRow row) {
+		return row.actualState.isPresent() && row.stateRequestedNanos - ordersAllowedFromNanos(pool) >= 0;
 	}
 
 	// A random time of half to one and a half times the given one, in nanoseconds.
 	long jittered(long millis) {
-		long nanos = CapacitySettings.nanos(millis);
+		long nanos = CapacitySettings.toNanos(millis);
 		return nanos / 2 + this.random.nextLong(nanos + 1);
 	}
 
 	// Keeps that a VM is leaving. A process that does not hold the lease has no row for
 	// it, and forgetting it would put the VM back into service after a take-over, while
 	// the entries send it nothing any more.
-	void leaving(VmId vm) {
+	void markLeaving(VmId vm) {
 		this.leaving.add(vm);
-		if (this.leaving.size() > LEAVING_KEPT) {
+		if (this.leaving.size() > MAX_LEAVING_VMS) {
 			this.leaving.remove(this.leaving.iterator().next());
 		}
 	}
 
-	VmRow row(CloudVm vm, long nowNanos) {
+	VmRow findOrAdd(CloudVm vm, long nowNanos) {
 		VmRow row = this.vms.computeIfAbsent(vm.id(), (_) -> new VmRow(vm, nowNanos));
 		if (this.leaving.contains(vm.id())) {
-			row.drain(nowNanos, "said-to-be-leaving");
+			row.startDrain(nowNanos, "said-to-be-leaving");
 		}
 		return row;
 	}
 
 	// Sorts VMs and purchases by pool, for the systems of this tick.
-	void group() {
-		this.pools.values().forEach(PoolRow::begin);
+	void groupByPool() {
+		this.pools.values().forEach(PoolRow::reset);
 		for (VmRow row : this.vms.values()) {
 			PoolRow pool = this.pools.get(row.vm.pool());
 			if (pool != null) {
 				pool.add(row);
 			}
 		}
-		this.offers.values().forEach((offer) -> offer.open = 0);
+		this.offers.values().forEach((offer) -> offer.openPurchases = 0);
 		for (IntentRow row : this.intents.values()) {
 			if (row.isOpen()) {
-				open(row);
+				countPurchase(row);
 			}
 		}
 	}
 
-	void open(IntentRow row) {
+	void countPurchase(IntentRow row) {
 		PoolRow pool = this.pools.get(row.intent.pool());
 		if (pool != null) {
 			pool.add(row);
 		}
 		OfferRow offer = this.offers.get(row.intent.sort());
 		if (offer != null) {
-			offer.open++;
+			offer.openPurchases++;
 		}
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/DrainSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/DrainSystem.java
@@ -19,93 +19,94 @@
 	static void run(CapacityTables tables, long nowNanos, List<CapacityCommand> commands) {
 		for (PoolRow row : tables.pools.values()) {
 			drainSurplus(tables, row, nowNanos);
-			drainSilent(tables, row, nowNanos);
+			drainUnresponsive(tables, row, nowNanos);
 		}
 		for (VmRow row : tables.vms.values()) {
 			if (!tables.pools.containsKey(row.vm.pool())) {
-				row.drain(nowNanos, "no-such-pool");
+				row.startDrain(nowNanos, "no-such-pool");
 			}
 			if (row.vm.state() == State.STARTING
-					&& isOver(row.firstSeenNanos, tables.settings.bootMillis(), nowNanos)) {
-				row.drain(nowNanos, "did-not-boot");
+					&& hasElapsed(row.firstSeenNanos, tables.settings.bootMillis(), nowNanos)) {
+				row.startDrain(nowNanos, "did-not-boot");
 			}
 			if (row.draining) {
-				advance(tables, row, nowNanos, commands);
+				advanceDrain(tables, row, nowNanos, commands);
 			}
 		}
 	}
 
 	private static void drainSurplus(CapacityTables tables, PoolRow row, long nowNanos) {
-		List<VmRow> ready = new ArrayList<>(row.vms.stream().filter(row::isReady).toList());
+		List<VmRow> ready = new ArrayList<>(row.vms.stream().filter(row::isServing).toList());
 		int surplus = ready.size() - row.plan.total();
 		if (surplus <= 0 || (row.plan.total() == 0 && row.pool.minimum() > 0)) {
 			return;
 		}
 		for (int i = 0; i < surplus; i++) {
-			VmRow least = ready.stream()
+			VmRow selected = ready.stream()
 				.max(Comparator.comparingInt((VmRow vm) -> excess(row, vm))
-					.thenComparingDouble((vm) -> PlacementSystem.score(tables, vm))
+					.thenComparingDouble((vm) -> PlacementSystem.effectivePrice(tables, vm))
 					.thenComparing((vm) -> vm.id))
 				.orElseThrow();
-			ready.remove(least);
-			row.counted.merge(least.zone(), -1, Integer::sum);
-			row.total--;
-			least.drain(nowNanos, "surplus: pool wants " + row.plan.total());
+			ready.remove(selected);
+			row.countByZone.merge(selected.zone(), -1, Integer::sum);
+			row.totalCount--;
+			selected.startDrain(nowNanos, "surplus: pool wants " + row.plan.total());
 		}
 	}
 
 	private static int excess(PoolRow row, VmRow vm) {
-		return Math.max(0, row.in(vm.zone()) - row.plan.in(vm.zone()));
+		return Math.max(0, row.countIn(vm.zone()) - row.plan.countIn(vm.zone()));
 	}
 
 	// Replaces engines that no longer answer. When most of a pool is silent, this process
 	// is the one that is cut off: giving all of them back would end every stream.
-	private static void drainSilent(CapacityTables tables, PoolRow row, long nowNanos) {
-		long silent = row.vms.stream().filter((vm) -> vm.silentSinceNanos.isPresent()).count();
-		if (silent * 2 > Math.max(2, row.vms.size())) {
+	private static void drainUnresponsive(CapacityTables tables, PoolRow row, long nowNanos) {
+		long unresponsive = row.vms.stream().filter((vm) -> vm.unresponsiveSinceNanos.isPresent()).count();
+		if (unresponsive * 2 > Math.max(2, row.vms.size())) {
 			return;
 		}
 		row.vms.stream()
-			.filter((vm) -> vm.counts() && vm.silentSinceNanos.isPresent()
-					&& isOver(vm.silentSinceNanos.getAsLong(), tables.settings.unreachableMillis(), nowNanos))
-			.forEach((vm) -> vm.drain(nowNanos, "unreachable"));
+			.filter((vm) -> vm.countsTowardsSize() && vm.unresponsiveSinceNanos.isPresent()
+					&& hasElapsed(vm.unresponsiveSinceNanos.getAsLong(), tables.settings.unreachableMillis(), nowNanos))
+			.forEach((vm) -> vm.startDrain(nowNanos, "unreachable"));
 	}
 
-	private static void advance(CapacityTables tables, VmRow row, long nowNanos, List<CapacityCommand> commands) {
-		if (!row.announced) {
-			row.announced = true;
+	private static void advanceDrain(CapacityTables tables, VmRow row, long nowNanos, List<CapacityCommand> commands) {
+		if (!row.leavingAnnounced) {
+			row.leavingAnnounced = true;
 			commands.add(new CapacityCommand.AnnounceLeaving(row.id, tables.settings.drainMillis(), row.drainReason));
 		}
-		if (row.vm.state() == State.RECLAIMING || row.releasing || nowNanos - row.nextReleaseNanos < 0) {
+		if (row.vm.state() == State.RECLAIMING || row.releasePending || nowNanos - row.nextReleaseNanos < 0) {
 			return;
 		}
 		PoolRow pool = tables.pools.get(row.vm.pool());
-		String ended = ended(tables, pool, row, nowNanos);
-		if (!ended.isEmpty()) {
-			row.releasing = true;
-			commands.add(new CapacityCommand.Release(row.id, row.drainReason + ", " + ended));
+		String releaseReason = releaseReason(tables, pool, row, nowNanos);
+		if (!releaseReason.isEmpty()) {
+			row.releasePending = true;
+			commands.add(new CapacityCommand.Release(row.id, row.drainReason + ", " + releaseReason));
 		}
 	}
 
 	// Why a drained VM may be released now, empty when it may not.
-	private static String ended(CapacityTables tables, PoolRow pool, VmRow row, long nowNanos) {
+	private static String releaseReason(CapacityTables tables, PoolRow pool, VmRow row, long nowNanos) {
 		if (row.vm.state() == State.STARTING) {
-			return isOver(row.firstSeenNanos, tables.settings.bootMillis(), nowNanos) ? "never-ran" : "";
+			return hasElapsed(row.firstSeenNanos, tables.settings.bootMillis(), nowNanos) ? "never-ran" : "";
 		}
 		boolean service = pool != null && !pool.servesModels();
 		if (service) {
-			return isOver(row.drainSinceNanos, tables.settings.serviceDrainMillis(), nowNanos) ? "drain-time-over" : "";
+			return hasElapsed(row.drainStartNanos, tables.settings.serviceDrainMillis(), nowNanos) ? "drain-time-over"
+					: "";
 		}
-		if (isOver(row.drainSinceNanos, tables.settings.drainMillis(), nowNanos)) {
+		if (hasElapsed(row.drainStartNanos, tables.settings.drainMillis(), nowNanos)) {
 			return "drain-limit";
 		}
-		boolean idle = row.actualAskedNanos - row.drainSinceNanos >= 0
-				&& row.actual.map((state) -> state.draining() && state.running() == 0).orElse(false);
+		boolean idle = row.stateRequestedNanos - row.drainStartNanos >= 0
+				&& row.actualState.map((state) -> state.draining() && state.running() == 0).orElse(false);
 		return idle ? "idle" : "";
 	}
 
-	static boolean isOver(long sinceNanos, long millis, long nowNanos) {
-		return nowNanos - sinceNanos >= CapacitySettings.nanos(millis);
+	static boolean hasElapsed(long sinceNanos, long millis, long nowNanos) {
+		return nowNanos - sinceNanos >= CapacitySettings.toNanos(millis);
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/IntentRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/IntentRow.java
@@ -10,9 +10,9 @@
 	Phase phase;
 
 	/** Whether an answer is awaited. */
-	boolean exchanging;
+	boolean requestPending;
 
-	long nextNanos;
+	long nextAttemptNanos;
 
 	int failures;
 
@@ -29,11 +29,11 @@
 		return this.phase != Phase.ENDED;
 	}
 
-	void end(String how) {
+	void end(String outcome) {
 		this.phase = Phase.ENDED;
-		this.outcome = how;
-		this.exchanging = false;
-		this.nextNanos = Long.MIN_VALUE;
+		this.outcome = outcome;
+		this.requestPending = false;
+		this.nextAttemptNanos = Long.MIN_VALUE;
 		this.failures = 0;
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/OfferRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/OfferRow.java
@@ -11,7 +11,7 @@
 	long blockedUntilNanos;
 
 	/** Purchases of this sort under way. */
-	int open;
+	int openPurchases;
 
 	OfferRow(Offer offer) {
 		this.offer = offer;
@@ -19,12 +19,12 @@
 
 	// Whether a VM may be asked for. After a refusal one purchase at a time probes the
 	// offer: many at once would be a storm of starts on a cloud that has none.
-	boolean isOpen(long nowNanos) {
-		return (this.refusals == 0) || (nowNanos - this.blockedUntilNanos >= 0 && this.open == 0);
+	boolean isAvailable(long nowNanos) {
+		return (this.refusals == 0) || (nowNanos - this.blockedUntilNanos >= 0 && this.openPurchases == 0);
 	}
 
 	// The price for an hour, with what its reclaims cost.
-	double score(double reclaimCostHours) {
+	double effectivePrice(double reclaimCostHours) {
 		return this.offer.pricePerHour() * (1 + this.offer.reclaimsPerHour() * reclaimCostHours);
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/OrderSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/OrderSystem.java
@@ -19,102 +19,104 @@
 	}
 
 	static void run(CapacityTables tables, long nowNanos, List<CapacityCommand> commands) {
-		int loads = tables.settings.loadsAtOnce() - loading(tables);
+		int availableLoads = tables.settings.loadsAtOnce() - countLoadingEngines(tables);
 		for (PoolRow pool : tables.pools.values()) {
-			if (!pool.servesModels() || nowNanos - tables.ordersFromNanos(pool) < 0) {
+			if (!pool.servesModels() || nowNanos - tables.ordersAllowedFromNanos(pool) < 0) {
 				continue;
 			}
-			want(tables, pool);
-			String updating = updatingZone(tables, pool);
+			updateDesiredVersions(tables, pool);
+			String updatingZone = updatingZone(tables, pool);
 			for (VmRow row : pool.vms) {
-				if (!row.isRunning() || row.exchanging || !tables.isKnown(pool, row)) {
+				if (!row.isRunning() || row.requestPending || !tables.isStateCurrent(pool, row)) {
 					continue;
 				}
-				Need need = need(tables, pool, row, nowNanos);
-				boolean waits = need == Need.LOAD && (loads <= 0 || (isUpdate(row) && !row.zone().equals(updating)));
-				if (need == Need.NOTHING || waits) {
+				Action action = nextAction(tables, pool, row, nowNanos);
+				boolean mustWait = action == Action.LOAD
+						&& (availableLoads <= 0 || (hasLoadedModels(row) && !row.zone().equals(updatingZone)));
+				if (action == Action.NONE || mustWait) {
 					continue;
 				}
-				loads -= (need == Need.LOAD) ? 1 : 0;
-				commands.add(order(pool, row, need));
-				row.exchanging = true;
+				availableLoads -= (action == Action.LOAD) ? 1 : 0;
+				commands.add(createOrder(pool, row, action));
+				row.requestPending = true;
 			}
 		}
 	}
 
-	private static void want(CapacityTables tables, PoolRow pool) {
-		pool.models = pool.pool.models()
+	private static void updateDesiredVersions(CapacityTables tables, PoolRow pool) {
+		pool.desiredModels = pool.pool.models()
 			.stream()
 			.flatMap((name) -> tables.configuration.find(Resource.Model.class, name).stream())
 			.map((model) -> model.name() + "@" + model.version())
 			.sorted()
 			.toList();
-		pool.adapters = tables.configuration.all(Resource.Adapter.class)
+		pool.desiredAdapters = tables.configuration.all(Resource.Adapter.class)
 			.filter((adapter) -> pool.pool.models().contains(adapter.model()))
 			.map((adapter) -> adapter.name() + "@" + adapter.version())
 			.sorted()
 			.toList();
 	}
 
-	private static int loading(CapacityTables tables) {
+	private static int countLoadingEngines(CapacityTables tables) {
 		return (int) tables.vms.values()
 			.stream()
-			.filter((row) -> row.isRunning() && row.actual.map((state) -> !state.loading().isEmpty()).orElse(false))
+			.filter((row) -> row.isRunning()
+					&& row.actualState.map((state) -> !state.loading().isEmpty()).orElse(false))
 			.count();
 	}
 
-	private static Need need(CapacityTables tables, PoolRow pool, VmRow row, long nowNanos) {
-		ServerState state = row.actual.orElseThrow();
+	private static Action nextAction(CapacityTables tables, PoolRow pool, VmRow row, long nowNanos) {
+		ServerState state = row.actualState.orElseThrow();
 		if (row.draining) {
-			return (state.draining() && state.fence() >= tables.fence) ? Need.NOTHING : Need.DRAIN;
+			return (state.draining() && state.fence() >= tables.fence) ? Action.NONE : Action.DRAIN;
 		}
-		if (lacks(pool, state)) {
-			boolean underWay = !state.loading().isEmpty() && state.fence() >= tables.fence
-					&& row.ordered.equals(wanted(pool));
-			return underWay ? Need.NOTHING : Need.LOAD;
+		if (isMissingVersions(pool, state)) {
+			boolean inProgress = !state.loading().isEmpty() && state.fence() >= tables.fence
+					&& row.lastLoadOrder.equals(desiredState(pool));
+			return inProgress ? Action.NONE : Action.LOAD;
 		}
-		if (mayDrop(tables, pool, row, nowNanos)) {
-			return Need.DROP;
+		if (mayDropOldVersions(tables, pool, row, nowNanos)) {
+			return Action.DROP;
 		}
-		return (state.fence() < tables.fence) ? Need.ADOPT : Need.NOTHING;
+		return (state.fence() < tables.fence) ? Action.UPDATE_FENCE : Action.NONE;
 	}
 
 	// Whether there are old versions and they may go. An engine that drops a version may
 	// cut off its streams, which callers see as broken answers: they are waited for, but
 	// not longer than the drain's limit, so that one endless stream can't hold the memory
 	// of a version for good.
-	private static boolean mayDrop(CapacityTables tables, PoolRow pool, VmRow row, long nowNanos) {
-		ServerState state = row.actual.orElseThrow();
-		List<String> old = new ArrayList<>(state.models());
-		old.addAll(state.adapters());
-		old.removeAll(pool.models);
-		old.removeAll(pool.adapters);
-		if (old.isEmpty()) {
+	private static boolean mayDropOldVersions(CapacityTables tables, PoolRow pool, VmRow row, long nowNanos) {
+		ServerState state = row.actualState.orElseThrow();
+		List<String> oldVersions = new ArrayList<>(state.models());
+		oldVersions.addAll(state.adapters());
+		oldVersions.removeAll(pool.desiredModels);
+		oldVersions.removeAll(pool.desiredAdapters);
+		if (oldVersions.isEmpty()) {
 			row.oldVersionsSinceNanos = OptionalLong.empty();
 			return false;
 		}
 		if (row.oldVersionsSinceNanos.isEmpty()) {
 			row.oldVersionsSinceNanos = OptionalLong.of(nowNanos);
 		}
-		return !state.mayRunOn(old)
-				|| DrainSystem.isOver(row.oldVersionsSinceNanos.getAsLong(), tables.settings.drainMillis(), nowNanos);
+		return !state.mayHaveStreamsOn(oldVersions) || DrainSystem.hasElapsed(row.oldVersionsSinceNanos.getAsLong(),
+				tables.settings.drainMillis(), nowNanos);
 	}
 
-	private static boolean lacks(PoolRow pool, ServerState state) {
-		return !state.models().containsAll(pool.models) || !state.adapters().containsAll(pool.adapters);
+	private static boolean isMissingVersions(PoolRow pool, ServerState state) {
+		return !state.models().containsAll(pool.desiredModels) || !state.adapters().containsAll(pool.desiredAdapters);
 	}
 
-	private static boolean isUpdate(VmRow row) {
-		return row.actual.map((state) -> !state.models().isEmpty()).orElse(false);
+	private static boolean hasLoadedModels(VmRow row) {
+		return row.actualState.map((state) -> !state.models().isEmpty()).orElse(false);
 	}
 
 	// The one zone in which engines change what they have loaded, empty for none.
 	private static String updatingZone(CapacityTables tables, PoolRow pool) {
 		String first = "";
 		for (VmRow row : pool.vms) {
-			boolean pending = row.counts() && row.isRunning() && tables.isKnown(pool, row) && isUpdate(row)
-					&& lacks(pool, row.actual.orElseThrow());
-			if (pending && !row.actual.orElseThrow().loading().isEmpty()) {
+			boolean pending = row.countsTowardsSize() && row.isRunning() && tables.isStateCurrent(pool, row)
+					&& hasLoadedModels(row) && isMissingVersions(pool, row.actualState.orElseThrow());
+			if (pending && !row.actualState.orElseThrow().loading().isEmpty()) {
 				return row.zone();
 			}
 			if (pending && (first.isEmpty() || row.zone().compareTo(first) < 0)) {
@@ -124,25 +126,25 @@
 		return first;
 	}
 
-	private static CapacityCommand order(PoolRow pool, VmRow row, Need need) {
-		ServerState state = row.actual.orElseThrow();
+	private static CapacityCommand createOrder(PoolRow pool, VmRow row, Action action) {
+		ServerState state = row.actualState.orElseThrow();
 		String address = row.vm.address();
-		if (need == Need.DRAIN) {
+		if (action == Action.DRAIN) {
 			return new CapacityCommand.Order(row.id, address, state.models(), state.adapters(), true, row.drainReason);
 		}
-		row.ordered = wanted(pool);
-		boolean beside = need != Need.DROP;
-		List<String> models = beside ? union(pool.models, state.models()) : pool.models;
-		List<String> adapters = beside ? union(pool.adapters, state.adapters()) : pool.adapters;
-		return new CapacityCommand.Order(row.id, address, models, adapters, false, switch (need) {
-			case LOAD -> isUpdate(row) ? "load-new-beside-old" : "load-first";
+		row.lastLoadOrder = desiredState(pool);
+		boolean keepOldVersions = action != Action.DROP;
+		List<String> models = keepOldVersions ? union(pool.desiredModels, state.models()) : pool.desiredModels;
+		List<String> adapters = keepOldVersions ? union(pool.desiredAdapters, state.adapters()) : pool.desiredAdapters;
+		return new CapacityCommand.Order(row.id, address, models, adapters, false, switch (action) {
+			case LOAD -> hasLoadedModels(row) ? "load-new-beside-old" : "load-first";
 			case DROP -> "drop-old";
 			default -> "new-lease";
 		});
 	}
 
-	private static String wanted(PoolRow pool) {
-		return pool.models + "|" + pool.adapters;
+	private static String desiredState(PoolRow pool) {
+		return pool.desiredModels + "|" + pool.desiredAdapters;
 	}
 
 	private static List<String> union(List<String> first, List<String> second) {
@@ -152,9 +154,9 @@
 	}
 
 	/** What an engine must be told. */
-	private enum Need {
+	private enum Action {
 
-		NOTHING, LOAD, DROP, ADOPT, DRAIN
+		NONE, LOAD, DROP, UPDATE_FENCE, DRAIN
 
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PlacementSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PlacementSystem.java
@@ -14,103 +14,105 @@
 final class PlacementSystem {
 
 	/** What an exchange must save to be worth a boot and a load of weights. */
-	private static final double WORTH_EXCHANGING = 0.9;
+	private static final double MAX_REPLACEMENT_PRICE_RATIO = 0.9;
 
 	private PlacementSystem() {
 	}
 
 	static void run(CapacityTables tables, long nowNanos) {
 		for (PoolRow row : tables.pools.values()) {
-			while (row.total < row.plan.total() && row.intents.size() < tables.settings.startsAtOnce()) {
-				Optional<Choice> choice = lacking(tables, row, nowNanos);
+			while (row.totalCount < row.plan.total() && row.intents.size() < tables.settings.startsAtOnce()) {
+				Optional<Choice> choice = chooseForShortage(tables, row, nowNanos);
 				if (choice.isEmpty()) {
 					break;
 				}
-				plan(tables, row, choice.get());
+				planPurchase(tables, row, choice.get());
 			}
-			if (isSettled(row)) {
-				improvement(tables, row, nowNanos).ifPresent((choice) -> plan(tables, row, choice));
+			if (isStable(row)) {
+				chooseImprovement(tables, row, nowNanos).ifPresent((choice) -> planPurchase(tables, row, choice));
 			}
 		}
 	}
 
-	private static void plan(CapacityTables tables, PoolRow row, Choice choice) {
-		tables.purchases++;
-		String token = "f" + tables.fence + "-" + tables.purchases;
+	private static void planPurchase(CapacityTables tables, PoolRow row, Choice choice) {
+		tables.purchaseCount++;
+		String token = "f" + tables.fence + "-" + tables.purchaseCount;
 		Intent intent = new Intent(token, row.pool.name(), choice.offer().offer.key());
 		IntentRow planned = new IntentRow(intent, choice.reason(), IntentRow.Phase.PLANNED);
-		planned.nextNanos = Long.MIN_VALUE;
+		planned.nextAttemptNanos = Long.MIN_VALUE;
 		tables.intents.put(token, planned);
-		tables.open(planned);
+		tables.countPurchase(planned);
 	}
 
-	private static Optional<Choice> lacking(CapacityTables tables, PoolRow row, long nowNanos) {
+	private static Optional<Choice> chooseForShortage(CapacityTables tables, PoolRow row, long nowNanos) {
 		Optional<Choice> best = Optional.empty();
 		double bestRank = Double.MAX_VALUE;
-		for (String zone : zones(tables, row)) {
-			Optional<OfferRow> offer = SizeSystem.cheapest(tables, row, zone, nowNanos);
+		for (String zone : allowedZones(tables, row)) {
+			Optional<OfferRow> offer = PoolSizeSystem.cheapestAvailable(tables, row, zone, nowNanos);
 			if (offer.isEmpty()) {
 				continue;
 			}
-			boolean shortOf = row.in(zone) < row.plan.in(zone);
-			double rank = shortOf ? (double) row.in(zone) / row.plan.in(zone) : 1 + row.in(zone);
+			boolean belowShare = row.countIn(zone) < row.plan.countIn(zone);
+			double rank = belowShare ? (double) row.countIn(zone) / row.plan.countIn(zone) : 1 + row.countIn(zone);
 			if (rank < bestRank) {
 				bestRank = rank;
 				best = Optional.of(new Choice(offer.get(),
-						(shortOf ? "zone-below-share" : "other-zones-refuse") + " pool has " + row.total + " of "
-								+ row.plan.total() + ", zone " + row.in(zone) + " of " + row.plan.in(zone)));
+						(belowShare ? "zone-below-share" : "other-zones-refuse") + " pool has " + row.totalCount
+								+ " of " + row.plan.total() + ", zone " + row.countIn(zone) + " of "
+								+ row.plan.countIn(zone)));
 			}
 		}
 		return best;
 	}
 
-	private static Optional<Choice> improvement(CapacityTables tables, PoolRow row, long nowNanos) {
-		for (String zone : zones(tables, row)) {
-			Optional<OfferRow> offer = SizeSystem.cheapest(tables, row, zone, nowNanos);
+	private static Optional<Choice> chooseImprovement(CapacityTables tables, PoolRow row, long nowNanos) {
+		for (String zone : allowedZones(tables, row)) {
+			Optional<OfferRow> offer = PoolSizeSystem.cheapestAvailable(tables, row, zone, nowNanos);
 			if (offer.isEmpty()) {
 				continue;
 			}
-			if (row.in(zone) < row.plan.in(zone)) {
-				return offer
-					.map((open) -> new Choice(open, "spread: zone " + row.in(zone) + " of " + row.plan.in(zone)));
+			if (row.countIn(zone) < row.plan.countIn(zone)) {
+				return offer.map((cheapest) -> new Choice(cheapest,
+						"spread: zone " + row.countIn(zone) + " of " + row.plan.countIn(zone)));
 			}
-			double dearest = dearest(tables, row, zone);
-			double cost = tables.settings.reclaimCostHours();
-			if (offer.get().score(cost) < dearest * WORTH_EXCHANGING) {
-				return offer.map((open) -> new Choice(open, "cheaper: " + open.score(cost) + " for " + dearest));
+			double highestPrice = highestPrice(tables, row, zone);
+			double reclaimCostHours = tables.settings.reclaimCostHours();
+			if (offer.get().effectivePrice(reclaimCostHours) < highestPrice * MAX_REPLACEMENT_PRICE_RATIO) {
+				return offer.map((cheapest) -> new Choice(cheapest,
+						"cheaper: " + cheapest.effectivePrice(reclaimCostHours) + " for " + highestPrice));
 			}
 		}
 		return Optional.empty();
 	}
 
-	private static double dearest(CapacityTables tables, PoolRow row, String zone) {
-		double dearest = 0;
+	private static double highestPrice(CapacityTables tables, PoolRow row, String zone) {
+		double highestPrice = 0;
 		for (VmRow vm : row.vms) {
-			if (vm.counts() && vm.zone().equals(zone)) {
-				dearest = Math.max(dearest, score(tables, vm));
+			if (vm.countsTowardsSize() && vm.zone().equals(zone)) {
+				highestPrice = Math.max(highestPrice, effectivePrice(tables, vm));
 			}
 		}
-		return dearest;
+		return highestPrice;
 	}
 
 	// What a VM costs; nothing is known of one whose sort is no longer offered.
-	static double score(CapacityTables tables, VmRow vm) {
+	static double effectivePrice(CapacityTables tables, VmRow vm) {
 		OfferRow offer = tables.offers.get(vm.vm.sort());
-		return (offer != null) ? offer.score(tables.settings.reclaimCostHours()) : 0;
+		return (offer != null) ? offer.effectivePrice(tables.settings.reclaimCostHours()) : 0;
 	}
 
 	// Whether a pool is whole and nothing is under way in it.
-	private static boolean isSettled(PoolRow row) {
-		return row.total == row.plan.total() && row.intents.isEmpty()
-				&& row.vms.stream().allMatch((vm) -> row.isReady(vm) || !vm.counts())
+	private static boolean isStable(PoolRow row) {
+		return row.totalCount == row.plan.total() && row.intents.isEmpty()
+				&& row.vms.stream().allMatch((vm) -> row.isServing(vm) || !vm.countsTowardsSize())
 				&& row.vms.stream().noneMatch((vm) -> vm.draining);
 	}
 
-	private static List<String> zones(CapacityTables tables, PoolRow row) {
+	private static List<String> allowedZones(CapacityTables tables, PoolRow row) {
 		List<String> zones = new ArrayList<>();
 		for (OfferRow offer : tables.offers.values()) {
 			OfferKey key = offer.offer.key();
-			if (SizeSystem.allows(row, key) && !zones.contains(key.zone())) {
+			if (PoolSizeSystem.allows(row, key) && !zones.contains(key.zone())) {
 				zones.add(key.zone());
 			}
 		}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PoolRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PoolRow.java
@@ -19,35 +19,35 @@
 	final List<IntentRow> intents = new ArrayList<>();
 
 	// VMs and open purchases by zone.
-	final Map<String, Integer> counted = new TreeMap<>();
+	final Map<String, Integer> countByZone = new TreeMap<>();
 
-	int total;
+	int totalCount;
 
 	int target;
 
 	SpreadPlan plan = SpreadPlan.empty();
 
 	/** What the plan was made from. */
-	List<Object> planned = List.of();
+	List<Object> planInputs = List.of();
 
-	int demandPeak;
+	int peakDemand;
 
-	long demandPeakUntilNanos;
+	long nextShrinkNanos;
 
 	/** The fewest streams that waited at any moment of the last whole window. */
-	int steadyQueue;
+	int sustainedQueue;
 
-	int leastQueue;
+	int minQueueInWindow;
 
 	long queueWindowEndNanos;
 
-	List<String> models = List.of();
+	List<String> desiredModels = List.of();
 
-	List<String> adapters = List.of();
+	List<String> desiredAdapters = List.of();
 
 	PoolRow(Pool pool, long nowNanos) {
 		this.pool = pool;
-		this.demandPeakUntilNanos = nowNanos;
+		this.nextShrinkNanos = nowNanos;
 		this.queueWindowEndNanos = nowNanos;
 	}
 
@@ -59,16 +59,16 @@
 		return this.pool.fencing() == Fencing.IGNORED;
 	}
 
-	void begin() {
+	void reset() {
 		this.vms.clear();
 		this.intents.clear();
-		this.counted.clear();
-		this.total = 0;
+		this.countByZone.clear();
+		this.totalCount = 0;
 	}
 
 	void add(VmRow row) {
 		this.vms.add(row);
-		if (row.counts()) {
+		if (row.countsTowardsSize()) {
 			count(row.zone());
 		}
 	}
@@ -78,21 +78,21 @@
 		count(row.intent.sort().zone());
 	}
 
-	int in(String zone) {
-		return this.counted.getOrDefault(zone, 0);
+	int countIn(String zone) {
+		return this.countByZone.getOrDefault(zone, 0);
 	}
 
 	private void count(String zone) {
-		this.counted.merge(zone, 1, Integer::sum);
-		this.total++;
+		this.countByZone.merge(zone, 1, Integer::sum);
+		this.totalCount++;
 	}
 
 	// Whether a VM serves what its pool serves, in any version.
-	boolean isReady(VmRow row) {
-		if (!row.counts() || !row.isRunning()) {
+	boolean isServing(VmRow row) {
+		if (!row.countsTowardsSize() || !row.isRunning()) {
 			return false;
 		}
-		return !servesModels() || row.actual.map((state) -> serves(state.models())).orElse(false);
+		return !servesModels() || row.actualState.map((state) -> serves(state.models())).orElse(false);
 	}
 
 	private boolean serves(List<String> loaded) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/SizeSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PoolSizeSystem.java
@@ -17,34 +17,34 @@
  *
  * <p>
  * The target grows at once. It shrinks only when the need was lower for
- * {@value #SHRINK_AFTER_MILLIS} ms, and then by a tenth, at least one, every
- * {@value #SHRINK_STEP_MILLIS} ms, since a VM that was given back too early costs a boot
- * and a load of weights.
+ * {@value #SHRINK_DELAY_MILLIS} ms, and then by a tenth, at least one, every
+ * {@value #SHRINK_INTERVAL_MILLIS} ms, since a VM that was given back too early costs a
+ * boot and a load of weights.
  */
-final class SizeSystem {
+final class PoolSizeSystem {
 
 	private static final long QUEUE_WINDOW_MILLIS = 30_000;
 
-	private static final long SHRINK_AFTER_MILLIS = 300_000;
+	private static final long SHRINK_DELAY_MILLIS = 300_000;
 
-	private static final int SHRINK_PARTS = 10;
+	private static final int SHRINK_DIVISOR = 10;
 
-	private static final long SHRINK_STEP_MILLIS = 60_000;
+	private static final long SHRINK_INTERVAL_MILLIS = 60_000;
 
-	private SizeSystem() {
+	private PoolSizeSystem() {
 	}
 
 	static void run(CapacityTables tables, long nowNanos) {
 		for (PoolRow row : tables.pools.values()) {
 			row.target = Math.min(row.pool.maximum(), Math.max(row.pool.minimum(), demand(tables, row, nowNanos)));
-			Map<String, Double> prices = prices(tables, row);
+			Map<String, Double> prices = lowestPrices(tables, row);
 			List<String> zones = prices.keySet()
 				.stream()
 				.sorted(Comparator.<String>comparingDouble(prices::get).thenComparing(Comparator.naturalOrder()))
 				.toList();
-			List<Object> planned = List.of(prices, row.target, row.pool.maximum());
-			if (!planned.equals(row.planned)) {
-				row.planned = planned;
+			List<Object> planInputs = List.of(prices, row.target, row.pool.maximum());
+			if (!planInputs.equals(row.planInputs)) {
+				row.planInputs = planInputs;
 				row.plan = SpreadPlan.of(zones, prices, row.target, row.pool.maximum());
 			}
 		}
@@ -54,38 +54,39 @@
 		int running = 0;
 		int queued = 0;
 		for (VmRow vm : row.vms) {
-			running += vm.actual.map(ServerState::running).orElse(0);
-			queued += vm.actual.map(ServerState::queued).orElse(0);
+			running += vm.actualState.map(ServerState::running).orElse(0);
+			queued += vm.actualState.map(ServerState::queued).orElse(0);
 		}
 		observeQueue(row, queued, nowNanos);
 		double slots = Math.max(1, row.pool.slotsPerServer()) * tables.settings.busyShare();
-		int demand = (int) Math.ceil((running + row.steadyQueue) / slots);
-		if (demand >= row.demandPeak) {
-			row.demandPeak = demand;
-			row.demandPeakUntilNanos = nowNanos + CapacitySettings.nanos(SHRINK_AFTER_MILLIS);
+		int demand = (int) Math.ceil((running + row.sustainedQueue) / slots);
+		if (demand >= row.peakDemand) {
+			row.peakDemand = demand;
+			row.nextShrinkNanos = nowNanos + CapacitySettings.toNanos(SHRINK_DELAY_MILLIS);
 		}
-		else if (nowNanos - row.demandPeakUntilNanos >= 0) {
-			row.demandPeak = Math.max(demand, row.demandPeak - Math.max(1, row.demandPeak / SHRINK_PARTS));
-			row.demandPeakUntilNanos = nowNanos + CapacitySettings.nanos(SHRINK_STEP_MILLIS);
+		else if (nowNanos - row.nextShrinkNanos >= 0) {
+			row.peakDemand = Math.max(demand, row.peakDemand - Math.max(1, row.peakDemand / SHRINK_DIVISOR));
+			row.nextShrinkNanos = nowNanos + CapacitySettings.toNanos(SHRINK_INTERVAL_MILLIS);
 		}
-		return row.demandPeak;
+		return row.peakDemand;
 	}
 
 	private static void observeQueue(PoolRow row, int queued, long nowNanos) {
-		row.leastQueue = Math.min(row.leastQueue, queued);
+		row.minQueueInWindow = Math.min(row.minQueueInWindow, queued);
 		if (nowNanos - row.queueWindowEndNanos >= 0) {
-			row.steadyQueue = row.leastQueue;
-			row.leastQueue = queued;
-			row.queueWindowEndNanos = nowNanos + CapacitySettings.nanos(QUEUE_WINDOW_MILLIS);
+			row.sustainedQueue = row.minQueueInWindow;
+			row.minQueueInWindow = queued;
+			row.queueWindowEndNanos = nowNanos + CapacitySettings.toNanos(QUEUE_WINDOW_MILLIS);
 		}
 	}
 
 	// The least price of a VM in each zone that the pool may use.
-	private static Map<String, Double> prices(CapacityTables tables, PoolRow row) {
+	private static Map<String, Double> lowestPrices(CapacityTables tables, PoolRow row) {
 		Map<String, Double> prices = new TreeMap<>();
 		for (OfferRow offer : tables.offers.values()) {
 			if (allows(row, offer.offer.key())) {
-				prices.merge(offer.offer.key().zone(), offer.score(tables.settings.reclaimCostHours()), Math::min);
+				prices.merge(offer.offer.key().zone(), offer.effectivePrice(tables.settings.reclaimCostHours()),
+						Math::min);
 			}
 		}
 		return prices;
@@ -98,12 +99,12 @@
 	}
 
 	// The cheapest offer of a zone that is open now.
-	static Optional<OfferRow> cheapest(CapacityTables tables, PoolRow row, String zone, long nowNanos) {
+	static Optional<OfferRow> cheapestAvailable(CapacityTables tables, PoolRow row, String zone, long nowNanos) {
 		return tables.offers.values()
 			.stream()
 			.filter((offer) -> offer.offer.key().zone().equals(zone) && allows(row, offer.offer.key()))
-			.filter((offer) -> offer.isOpen(nowNanos))
-			.min(Comparator.comparingDouble((offer) -> offer.score(tables.settings.reclaimCostHours())));
+			.filter((offer) -> offer.isAvailable(nowNanos))
+			.min(Comparator.comparingDouble((offer) -> offer.effectivePrice(tables.settings.reclaimCostHours())));
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PurchaseSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PurchaseSystem.java
@@ -16,13 +16,13 @@
 
 	static void run(CapacityTables tables, long nowNanos, List<CapacityCommand> commands) {
 		for (IntentRow row : tables.intents.values()) {
-			if (row.exchanging || (row.nextNanos != Long.MIN_VALUE && nowNanos - row.nextNanos < 0)) {
+			if (row.requestPending || (row.nextAttemptNanos != Long.MIN_VALUE && nowNanos - row.nextAttemptNanos < 0)) {
 				continue;
 			}
 			if (row.phase == Phase.FOUND) {
 				resume(tables, row);
 			}
-			row.exchanging = true;
+			row.requestPending = true;
 			commands.add(switch (row.phase) {
 				case PLANNED -> new CapacityCommand.WriteIntent(row.intent, row.reason);
 				case FOUND, WRITTEN -> new CapacityCommand.Buy(row.intent);
@@ -33,9 +33,9 @@
 
 	private static void resume(CapacityTables tables, IntentRow row) {
 		PoolRow pool = tables.pools.get(row.intent.pool());
-		if (pool == null || pool.total > pool.plan.total()) {
+		if (pool == null || pool.totalCount > pool.plan.total()) {
 			if (pool != null) {
-				pool.total--;
+				pool.totalCount--;
 			}
 			row.end("no-longer-wanted");
 		}
@@ -44,11 +44,11 @@
 		}
 	}
 
-	static void written(CapacityTables tables, String token) {
+	static void intentWritten(CapacityTables tables, String token) {
 		IntentRow row = tables.intents.get(token);
 		if (row != null && row.phase == Phase.PLANNED) {
 			row.phase = Phase.WRITTEN;
-			row.exchanging = false;
+			row.requestPending = false;
 			row.failures = 0;
 		}
 	}
@@ -57,9 +57,9 @@
 	static void retry(CapacityTables tables, String token, long nowNanos) {
 		IntentRow row = tables.intents.get(token);
 		if (row != null) {
-			row.exchanging = false;
+			row.requestPending = false;
 			row.failures++;
-			row.nextNanos = nowNanos + backOff(tables, row.failures);
+			row.nextAttemptNanos = nowNanos + backOffNanos(tables, row.failures);
 		}
 	}
 
@@ -73,7 +73,7 @@
 			}
 		}
 		if (vm.state() != CloudVm.State.GONE) {
-			tables.row(vm, nowNanos);
+			tables.findOrAdd(vm, nowNanos);
 		}
 	}
 
@@ -89,12 +89,12 @@
 			// once.
 			if (offer.refusals == 0 || nowNanos - offer.blockedUntilNanos >= 0) {
 				offer.refusals++;
-				offer.blockedUntilNanos = nowNanos + backOff(tables, offer.refusals);
+				offer.blockedUntilNanos = nowNanos + backOffNanos(tables, offer.refusals);
 			}
 		}
 	}
 
-	private static long backOff(CapacityTables tables, int failures) {
+	private static long backOffNanos(CapacityTables tables, int failures) {
 		CapacitySettings settings = tables.settings;
 		long millis = settings.backOffMillis() << Math.min(failures - 1, 10);
 		return tables.jittered(Math.min(millis, settings.backOffLimitMillis()));
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/ServerState.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/ServerState.java
@@ -31,7 +31,7 @@
 	 * @param versions models and adapters, each {@code name@version}
 	 * @return true also when the engine does not tell on which versions its streams run
 	 */
-	public boolean mayRunOn(List<String> versions) {
+	public boolean mayHaveStreamsOn(List<String> versions) {
 		return (this.streams.isEmpty()) ? this.running > 0 : versions.stream().anyMatch(this.streams::containsKey);
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/SourceRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/SourceRow.java
@@ -3,19 +3,19 @@
 /** When a part of the platform is read again. */
 final class SourceRow {
 
-	boolean exchanging;
+	boolean requestPending;
 
-	long askedNanos;
+	long requestedNanos;
 
-	long nextNanos = Long.MIN_VALUE;
+	long nextReadNanos = Long.MIN_VALUE;
 
 	/** Whether it was read since the lease was taken. */
-	boolean known;
+	boolean readUnderLease;
 
 	void reset() {
-		this.exchanging = false;
-		this.known = false;
-		this.nextNanos = Long.MIN_VALUE;
+		this.requestPending = false;
+		this.readUnderLease = false;
+		this.nextReadNanos = Long.MIN_VALUE;
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/SpreadPlan.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/SpreadPlan.java
@@ -38,12 +38,12 @@
 		}
 		SpreadPlan best = empty();
 		double bestPrice = Double.MAX_VALUE;
-		for (int most = 1; most <= target; most++) {
-			int total = target + most;
-			if (total > maximum || (long) most * zones.size() < total) {
+		for (int maxPerZone = 1; maxPerZone <= target; maxPerZone++) {
+			int total = target + maxPerZone;
+			if (total > maximum || (long) maxPerZone * zones.size() < total) {
 				continue;
 			}
-			SpreadPlan plan = fill(zones, most, total);
+			SpreadPlan plan = fill(zones, maxPerZone, total);
 			double price = plan.price(prices);
 			if (price < bestPrice) {
 				best = plan;
@@ -58,21 +58,21 @@
 		return fill(zones, (total + zones.size() - 1) / zones.size(), total);
 	}
 
-	int in(String zone) {
+	int countIn(String zone) {
 		return this.counts.getOrDefault(zone, 0);
 	}
 
-	private static SpreadPlan fill(List<String> zones, int most, int total) {
+	private static SpreadPlan fill(List<String> zones, int maxPerZone, int total) {
 		Map<String, Integer> counts = new TreeMap<>();
-		int left = total;
+		int remaining = total;
 		for (String zone : zones) {
-			int count = Math.min(most, left);
+			int count = Math.min(maxPerZone, remaining);
 			if (count > 0) {
 				counts.put(zone, count);
 			}
-			left -= count;
+			remaining -= count;
 		}
-		return new SpreadPlan(counts, total, total - Math.min(most, total));
+		return new SpreadPlan(counts, total, total - Math.min(maxPerZone, total));
 	}
 
 	private double price(Map<String, Double> prices) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/VmRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/VmRow.java
@@ -17,35 +17,35 @@
 
 	boolean draining;
 
-	long drainSinceNanos;
+	long drainStartNanos;
 
 	String drainReason = "";
 
 	// What the engine last said, empty before its first answer under this lease.
-	Optional<ServerState> actual = Optional.empty();
+	Optional<ServerState> actualState = Optional.empty();
 
-	long actualAskedNanos;
+	long stateRequestedNanos;
 
-	boolean exchanging;
+	boolean requestPending;
 
 	long nextReadNanos;
 
 	/** When the engine's silence began; empty while it answers. */
-	OptionalLong silentSinceNanos = OptionalLong.empty();
+	OptionalLong unresponsiveSinceNanos = OptionalLong.empty();
 
 	/** Since when old versions wait for their streams; empty when there are none. */
 	OptionalLong oldVersionsSinceNanos = OptionalLong.empty();
 
-	boolean releasing;
+	boolean releasePending;
 
-	boolean announced;
+	boolean leavingAnnounced;
 
 	long nextReleaseNanos;
 
 	/**
 	 * The last loading order, so that one order is not repeated while it is carried out.
 	 */
-	String ordered = "";
+	String lastLoadOrder = "";
 
 	VmRow(CloudVm vm, long nowNanos) {
 		this.id = vm.id();
@@ -56,7 +56,7 @@
 	}
 
 	// Whether it adds to its pool's size.
-	boolean counts() {
+	boolean countsTowardsSize() {
 		return !this.draining && (this.vm.state() == State.STARTING || this.vm.state() == State.RUNNING);
 	}
 
@@ -64,10 +64,10 @@
 		return this.vm.state() == State.RUNNING && !this.vm.address().isEmpty();
 	}
 
-	void drain(long nowNanos, String reason) {
+	void startDrain(long nowNanos, String reason) {
 		if (!this.draining) {
 			this.draining = true;
-			this.drainSinceNanos = nowNanos;
+			this.drainStartNanos = nowNanos;
 			this.drainReason = reason;
 			this.nextReadNanos = nowNanos;
 		}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/ControllerSoakTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/ControllerSoakTests.java
@@ -17,11 +17,11 @@
  */
 class ControllerSoakTests {
 
-	private static final long SECOND = 1_000 * VirtualWorld.MILLI;
+	private static final long SECOND = 1_000 * Simulation.MILLI;
 
 	private static final int FAULT_SECONDS = 240;
 
-	private static final long SETTLE_MILLIS = 600_000;
+	private static final long MAX_CONVERGENCE_MILLIS = 600_000;
 
 	static LongStream seeds() {
 		long first = Long.getLong("soak.seed", 1);
@@ -40,46 +40,46 @@
 		SplittableRandom random = new SplittableRandom(seed ^ 0x5deece66dL);
 		for (int second = 0; second < FAULT_SECONDS; second++) {
 			if (random.nextInt(4) == 0) {
-				strike(deployment, random);
+				injectFault(deployment, random);
 			}
 			deployment.cloud.live()
 				.forEach((machine) -> machine.running = machine.draining ? Math.max(0, machine.running - 1)
 						: random.nextInt(4));
-			deployment.world.run(SECOND);
+			deployment.simulation.run(SECOND);
 		}
-		heal(deployment);
-		assertThat(deployment.settles(SETTLE_MILLIS)).as("declared state").isTrue();
-		assertThat(deployment.world.violations).isEmpty();
+		clearFaults(deployment);
+		assertThat(deployment.converges(MAX_CONVERGENCE_MILLIS)).as("declared state").isTrue();
+		assertThat(deployment.simulation.violations).isEmpty();
 	}
 
-	private static void strike(Deployment deployment, SplittableRandom random) {
-		VirtualWorld world = deployment.world;
-		long length = (1 + random.nextInt(30)) * SECOND;
-		SimulatedController any = pick(deployment.controllers, random);
+	private static void injectFault(Deployment deployment, SplittableRandom random) {
+		Simulation simulation = deployment.simulation;
+		long durationNanos = (1 + random.nextInt(30)) * SECOND;
+		SimulatedController controller = pickRandom(deployment.controllers, random);
 		switch (random.nextInt(10)) {
-			case 0 -> deployment.crash(any);
-			case 1 -> any.pause(length);
-			case 2 -> deployment.holders().forEach((holder) -> holder.pause(length));
+			case 0 -> deployment.crash(controller);
+			case 1 -> controller.pause(durationNanos);
+			case 2 -> deployment.leaseHolders().forEach((holder) -> holder.pause(durationNanos));
 			case 3 -> {
-				deployment.tables.down = true;
-				world.after(length, () -> deployment.tables.down = false);
+				deployment.tables.unavailable = true;
+				simulation.after(durationNanos, () -> deployment.tables.unavailable = false);
 			}
 			case 4 -> {
-				world.lostAnswers = random.nextDouble();
-				world.lostRequests = random.nextDouble() / 2;
-				world.after(length, () -> {
-					world.lostAnswers = 0;
-					world.lostRequests = 0;
+				simulation.responseLossRate = random.nextDouble();
+				simulation.requestLossRate = random.nextDouble() / 2;
+				simulation.after(durationNanos, () -> {
+					simulation.responseLossRate = 0;
+					simulation.requestLossRate = 0;
 				});
 			}
 			case 5 -> {
-				world.slowestMillis = 1 + random.nextInt(3_000);
-				world.after(length, () -> world.slowestMillis = 20);
+				simulation.maxDelayMillis = 1 + random.nextInt(3_000);
+				simulation.after(durationNanos, () -> simulation.maxDelayMillis = 20);
 			}
 			case 6 -> {
-				String zone = pick(Deployment.ZONES, random);
+				String zone = pickRandom(Deployment.ZONES, random);
 				deployment.cloud.refusingZones.add(zone);
-				world.after(length, () -> deployment.cloud.refusingZones.remove(zone));
+				simulation.after(durationNanos, () -> deployment.cloud.refusingZones.remove(zone));
 				deployment.cloud.live()
 					.stream()
 					.filter((machine) -> machine.intent.sort().zone().equals(zone))
@@ -93,28 +93,28 @@
 			case 9 -> {
 				List<Machine> live = deployment.cloud.live();
 				if (!live.isEmpty()) {
-					Machine silent = pick(live, random);
-					silent.silent = true;
-					world.after(length, () -> silent.silent = false);
+					Machine unresponsive = pickRandom(live, random);
+					unresponsive.unresponsive = true;
+					simulation.after(durationNanos, () -> unresponsive.unresponsive = false);
 				}
 			}
 			default -> throw new IllegalStateException();
 		}
 	}
 
-	private static void heal(Deployment deployment) {
-		VirtualWorld world = deployment.world;
-		world.run(30 * SECOND);
-		world.lostAnswers = 0;
-		world.lostRequests = 0;
-		world.slowestMillis = 20;
-		deployment.tables.down = false;
+	private static void clearFaults(Deployment deployment) {
+		Simulation simulation = deployment.simulation;
+		simulation.run(30 * SECOND);
+		simulation.responseLossRate = 0;
+		simulation.requestLossRate = 0;
+		simulation.maxDelayMillis = 20;
+		deployment.tables.unavailable = false;
 		deployment.cloud.refusingZones.clear();
 		deployment.cloud.live().forEach((machine) -> machine.running = 0);
 	}
 
-	private static <T> T pick(List<T> from, SplittableRandom random) {
-		return from.get(random.nextInt(from.size()));
+	private static <T> T pickRandom(List<T> candidates, SplittableRandom random) {
+		return candidates.get(random.nextInt(candidates.size()));
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/Deployment.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/Deployment.java
@@ -20,14 +20,14 @@
 	static final int MAXIMUM = 9;
 
 	/** One VM more than the maximum while a dearer or badly placed one is exchanged. */
-	static final int SURGE = 1;
+	static final int MAX_SURGE = 1;
 
 	static final CapacitySettings SETTINGS = new CapacitySettings(16, 4, 2_000, 20_000, 20_000, 5_000, 30_000, 10_000,
 			3_000, 500, 10, 0.25, 0.75);
 
 	private static final LeaseTerms TERMS = LeaseTerms.of(Duration.ofSeconds(10), Duration.ofSeconds(1));
 
-	final VirtualWorld world;
+	final Simulation simulation;
 
 	final FakeTables tables = new FakeTables();
 
@@ -37,17 +37,17 @@
 
 	private Configuration configuration = Configuration.empty();
 
-	private final List<org.rosemaryfront.model.VmId> leaving = new ArrayList<>();
+	private final List<org.rosemaryfront.model.VmId> leavingVms = new ArrayList<>();
 
-	private int started;
+	private int startedControllers;
 
 	Deployment(long seed, boolean fencingChecked) {
-		this.world = new VirtualWorld(seed);
-		this.cloud = new FakeCloud(this.world, this.tables, fencingChecked);
-		this.cloud.holders = this::holders;
-		this.cloud.announced = (vm) -> {
-			this.leaving.add(vm);
-			this.controllers.forEach((controller) -> controller.leavingLearned(vm));
+		this.simulation = new Simulation(seed);
+		this.cloud = new FakeCloud(this.simulation, this.tables, fencingChecked);
+		this.cloud.leaseHolders = this::leaseHolders;
+		this.cloud.leavingListener = (vm) -> {
+			this.leavingVms.add(vm);
+			this.controllers.forEach((controller) -> controller.reportLeaving(vm));
 		};
 		int cents = 100;
 		for (String zone : ZONES) {
@@ -59,15 +59,15 @@
 		for (int i = 0; i < 3; i++) {
 			startController();
 		}
-		this.world.after(0, this::watch);
+		this.simulation.after(0, this::checkInvariants);
 	}
 
 	void startController() {
-		this.started++;
-		SimulatedController controller = new SimulatedController("entry-" + this.started, this.cloud, TERMS, SETTINGS,
-				this.world.random.nextLong());
-		controller.configuration(this.configuration);
-		this.leaving.forEach(controller::leavingLearned);
+		this.startedControllers++;
+		SimulatedController controller = new SimulatedController("entry-" + this.startedControllers, this.cloud, TERMS,
+				SETTINGS, this.simulation.random.nextLong());
+		controller.applyConfiguration(this.configuration);
+		this.leavingVms.forEach(controller::reportLeaving);
 		this.controllers.add(controller);
 	}
 
@@ -83,38 +83,38 @@
 				0, List.of());
 		this.configuration = this.configuration.with(this.configuration.revision() + 1,
 				List.of(pool, new Resource.Model("m", modelVersion, 800)), List.of());
-		this.controllers.forEach((controller) -> controller.configuration(this.configuration));
+		this.controllers.forEach((controller) -> controller.applyConfiguration(this.configuration));
 	}
 
-	List<SimulatedController> holders() {
+	List<SimulatedController> leaseHolders() {
 		return this.controllers.stream().filter(SimulatedController::mayOrder).toList();
 	}
 
 	// Runs until the declared state is reached, at most the given time.
-	boolean settles(long millis) {
-		for (long passed = 0; passed < millis; passed += 500) {
-			this.world.run(500 * VirtualWorld.MILLI);
-			if (isAsDeclared()) {
+	boolean converges(long millis) {
+		for (long elapsed = 0; elapsed < millis; elapsed += 500) {
+			this.simulation.run(500 * Simulation.MILLI);
+			if (hasConverged()) {
 				return true;
 			}
 		}
 		return false;
 	}
 
-	boolean isAsDeclared() {
+	boolean hasConverged() {
 		List<Machine> live = this.cloud.live();
 		String model = "m@" + this.configuration.find(Resource.Model.class, "m").orElseThrow().version();
 		return live.size() == MAXIMUM && this.tables.scan("intents/").isEmpty()
 				&& live.stream()
-					.allMatch((machine) -> machine.drainedAt == 0 && machine.state == State.RUNNING
+					.allMatch((machine) -> machine.drainStartNanos == 0 && machine.state == State.RUNNING
 							&& machine.report().models().equals(List.of(model)));
 	}
 
-	private void watch() {
-		this.world.after(50 * VirtualWorld.MILLI, this::watch);
-		this.world.check(holders().size() <= 1, "two holders may order");
-		long counted = this.cloud.live().stream().filter((machine) -> machine.drainedAt == 0).count();
-		this.world.check(counted <= MAXIMUM + SURGE, counted + " VMs, maximum is " + MAXIMUM);
+	private void checkInvariants() {
+		this.simulation.after(50 * Simulation.MILLI, this::checkInvariants);
+		this.simulation.check(leaseHolders().size() <= 1, "two holders may order");
+		long activeVms = this.cloud.live().stream().filter((machine) -> machine.drainStartNanos == 0).count();
+		this.simulation.check(activeVms <= MAXIMUM + MAX_SURGE, activeVms + " VMs, maximum is " + MAXIMUM);
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/FakeCloud.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/FakeCloud.java
@@ -16,11 +16,11 @@
 /** A cloud in memory that sells VMs with a model engine on each. */
 final class FakeCloud {
 
-	private static final long BOOT = 3_000 * VirtualWorld.MILLI;
+	private static final long BOOT_NANOS = 3_000 * Simulation.MILLI;
 
-	private static final long NOTICE = 10_000 * VirtualWorld.MILLI;
+	private static final long NOTICE_NANOS = 10_000 * Simulation.MILLI;
 
-	final VirtualWorld world;
+	final Simulation simulation;
 
 	final FakeTables tables;
 
@@ -32,23 +32,23 @@
 
 	final Set<String> refusingZones = new HashSet<>();
 
-	final Set<OfferKey> refusedSorts = new HashSet<>();
+	final Set<OfferKey> refusedOffers = new HashSet<>();
 
 	final List<VmId> notices = new ArrayList<>();
 
 	private final Map<String, Machine> byToken = new HashMap<>();
 
-	java.util.function.Supplier<List<SimulatedController>> holders = List::of;
+	java.util.function.Supplier<List<SimulatedController>> leaseHolders = List::of;
 
-	java.util.function.Consumer<VmId> announced = (_) -> {
+	java.util.function.Consumer<VmId> leavingListener = (_) -> {
 	};
 
 	int purchases;
 
 	int refusals;
 
-	FakeCloud(VirtualWorld world, FakeTables tables, boolean fencingChecked) {
-		this.world = world;
+	FakeCloud(Simulation simulation, FakeTables tables, boolean fencingChecked) {
+		this.simulation = simulation;
 		this.tables = tables;
 		this.fencingChecked = fencingChecked;
 	}
@@ -66,11 +66,11 @@
 
 	// The VM of a token, empty when its start is refused.
 	Optional<CloudVm> buy(Intent intent) {
-		Machine known = this.byToken.get(intent.token());
-		if (known != null) {
-			return Optional.of(known.vm());
+		Machine existing = this.byToken.get(intent.token());
+		if (existing != null) {
+			return Optional.of(existing.vm());
 		}
-		if (this.refusingZones.contains(intent.sort().zone()) || this.refusedSorts.contains(intent.sort())) {
+		if (this.refusingZones.contains(intent.sort().zone()) || this.refusedOffers.contains(intent.sort())) {
 			this.refusals++;
 			return Optional.empty();
 		}
@@ -78,7 +78,7 @@
 		Machine machine = new Machine(this, "vm-" + (1000 + this.purchases), intent);
 		this.machines.put(machine.id, machine);
 		this.byToken.put(intent.token(), machine);
-		this.world.after(BOOT, () -> {
+		this.simulation.after(BOOT_NANOS, () -> {
 			if (machine.state == State.STARTING) {
 				machine.state = State.RUNNING;
 			}
@@ -87,17 +87,17 @@
 	}
 
 	// Called at each order, purchase and release: nobody else may hold the lease then.
-	void changeSent(SimulatedController sender) {
-		this.world.check(this.holders.get().stream().allMatch((holder) -> holder == sender),
+	void checkSoleLeaseHolder(SimulatedController sender) {
+		this.simulation.check(this.leaseHolders.get().stream().allMatch((holder) -> holder == sender),
 				sender.name + " gives orders while another holds the lease");
 	}
 
 	// Called at each purchase: its intent must stand, or have stood, in the table
 	// service.
-	void intentStood(String token) {
-		boolean stands = this.tables.read("intents/" + token).isPresent() || this.byToken.containsKey(token)
-				|| this.tables.everWritten("intents/" + token);
-		this.world.check(stands, "purchase " + token + " without a written intent");
+	void checkIntentWritten(String token) {
+		boolean written = this.tables.read("intents/" + token).isPresent() || this.byToken.containsKey(token)
+				|| this.tables.wasWritten("intents/" + token);
+		this.simulation.check(written, "purchase " + token + " without a written intent");
 	}
 
 	void release(VmId vm, long drainLimit) {
@@ -105,10 +105,11 @@
 		if (machine == null || machine.state == State.GONE) {
 			return;
 		}
-		boolean early = machine.drainedAt == 0 || this.world.now - machine.drainedAt < drainLimit;
-		this.world.check(machine.running == 0 || machine.state != State.RUNNING || !early,
+		boolean beforeLimit = machine.drainStartNanos == 0
+				|| this.simulation.now - machine.drainStartNanos < drainLimit;
+		this.simulation.check(machine.running == 0 || machine.state != State.RUNNING || !beforeLimit,
 				"released " + vm + " with " + machine.running + " streams before its drain limit");
-		this.world.check(machine.draining || machine.state != State.RUNNING || !early,
+		this.simulation.check(machine.draining || machine.state != State.RUNNING || !beforeLimit,
 				"released " + vm + " while it takes work");
 		machine.state = State.GONE;
 	}
@@ -117,7 +118,7 @@
 		if (machine.state == State.STARTING || machine.state == State.RUNNING) {
 			machine.state = State.RECLAIMING;
 			this.notices.add(new VmId(machine.id));
-			this.world.after(NOTICE, () -> machine.state = State.GONE);
+			this.simulation.after(NOTICE_NANOS, () -> machine.state = State.GONE);
 		}
 	}
 
@@ -131,7 +132,7 @@
 	/** A VM and the engine on it. */
 	static final class Machine {
 
-		private static final long LOAD = 2_000 * VirtualWorld.MILLI;
+		private static final long LOAD_NANOS = 2_000 * Simulation.MILLI;
 
 		private final FakeCloud cloud;
 
@@ -152,7 +153,7 @@
 		/**
 		 * When the engine first took a drain order or the VM was announced as leaving.
 		 */
-		long drainedAt;
+		long drainStartNanos;
 
 		int running;
 
@@ -160,11 +161,11 @@
 		Map<String, Integer> streams = new TreeMap<>();
 
 		/** Streams cut off because their version was dropped. */
-		int cut;
+		int interruptedStreams;
 
 		long fence;
 
-		boolean silent;
+		boolean unresponsive;
 
 		Machine(FakeCloud cloud, String id, Intent intent) {
 			this.cloud = cloud;
@@ -178,23 +179,23 @@
 					this.state, address);
 		}
 
-		boolean answers() {
-			return !this.silent && (this.state == State.RUNNING || this.state == State.RECLAIMING);
+		boolean isResponsive() {
+			return !this.unresponsive && (this.state == State.RUNNING || this.state == State.RECLAIMING);
 		}
 
 		// The state after an order, which an engine that checks may have refused.
 		ServerState order(long orderFence, CapacityCommand.Order order) {
-			long now = this.cloud.world.now;
+			long now = this.cloud.simulation.now;
 			if (this.cloud.fencingChecked && orderFence < this.fence) {
 				return report();
 			}
 			this.fence = orderFence;
 			this.draining = order.drain();
-			if (this.draining && this.drainedAt == 0) {
-				this.drainedAt = now;
+			if (this.draining && this.drainStartNanos == 0) {
+				this.drainStartNanos = now;
 			}
 			for (String dropped : this.models.stream().filter((name) -> !order.models().contains(name)).toList()) {
-				this.cut += this.streams.getOrDefault(dropped, 0);
+				this.interruptedStreams += this.streams.getOrDefault(dropped, 0);
 				this.streams.remove(dropped);
 			}
 			this.models.retainAll(order.models());
@@ -202,7 +203,7 @@
 			this.loadingUntil.keySet().retainAll(union(order.models(), order.adapters()));
 			for (String name : union(order.models(), order.adapters())) {
 				if (!this.models.contains(name) && !this.adapters.contains(name)) {
-					this.loadingUntil.putIfAbsent(name, now + LOAD);
+					this.loadingUntil.putIfAbsent(name, now + LOAD_NANOS);
 					(order.models().contains(name) ? this.models : this.adapters).add(name);
 				}
 			}
@@ -210,7 +211,7 @@
 		}
 
 		ServerState report() {
-			long now = this.cloud.world.now;
+			long now = this.cloud.simulation.now;
 			this.loadingUntil.values().removeIf((until) -> until <= now);
 			return new ServerState(this.fence, loaded(this.models), loaded(this.adapters),
 					List.copyOf(this.loadingUntil.keySet()), this.draining,
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/FakeTables.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/FakeTables.java
@@ -10,11 +10,11 @@
 
 	private final SortedMap<String, Row> rows = new TreeMap<>();
 
-	private final java.util.Set<String> written = new java.util.HashSet<>();
+	private final java.util.Set<String> writtenKeys = new java.util.HashSet<>();
 
-	private long versions;
+	private long lastVersion;
 
-	boolean down;
+	boolean unavailable;
 
 	Optional<Row> read(String key) {
 		return Optional.ofNullable(this.rows.get(key));
@@ -26,28 +26,28 @@
 
 	// Writes all values when all conditions hold; an empty value deletes.
 	Outcome commit(Map<String, Long> conditions, Map<String, Optional<Object>> writes) {
-		if (this.down) {
+		if (this.unavailable) {
 			return new Outcome(false, true, false, 0);
 		}
 		boolean fenced = false;
 		boolean conflict = false;
 		for (Map.Entry<String, Long> condition : conditions.entrySet()) {
-			boolean holds = version(condition.getKey()) == condition.getValue();
-			conflict |= !holds;
-			fenced |= !holds && condition.getKey().equals("lease/fence");
+			boolean satisfied = version(condition.getKey()) == condition.getValue();
+			conflict |= !satisfied;
+			fenced |= !satisfied && condition.getKey().equals("lease/fence");
 		}
 		if (conflict) {
 			return new Outcome(false, false, fenced, 0);
 		}
-		this.versions++;
-		this.written.addAll(writes.keySet());
+		this.lastVersion++;
+		this.writtenKeys.addAll(writes.keySet());
 		writes.forEach((key, value) -> value.ifPresentOrElse(
-				(present) -> this.rows.put(key, new Row(present, this.versions)), () -> this.rows.remove(key)));
-		return new Outcome(true, false, false, this.versions);
+				(present) -> this.rows.put(key, new Row(present, this.lastVersion)), () -> this.rows.remove(key)));
+		return new Outcome(true, false, false, this.lastVersion);
 	}
 
-	boolean everWritten(String key) {
-		return this.written.contains(key);
+	boolean wasWritten(String key) {
+		return this.writtenKeys.contains(key);
 	}
 
 	private long version(String key) {
@@ -57,7 +57,7 @@
 	record Row(Object value, long version) {
 	}
 
-	record Outcome(boolean committed, boolean refused, boolean fenced, long version) {
+	record Outcome(boolean committed, boolean unavailable, boolean fenced, long version) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/PoolSizeTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/PoolSizeTests.java
@@ -20,9 +20,9 @@
 
 	private static final long SECOND = 1_000 * MILLI;
 
-	private static final OfferKey SORT = new OfferKey("a", "gpu", Market.RECLAIMABLE);
+	private static final OfferKey OFFER_KEY = new OfferKey("a", "gpu", Market.RECLAIMABLE);
 
-	private static final int VMS = 2;
+	private static final int VM_COUNT = 2;
 
 	private static final int MAXIMUM = 40;
 
@@ -37,7 +37,7 @@
 	@BeforeEach
 	void declare() {
 		Resource.Pool pool = new Resource.Pool("assistant", Resource.Serves.MODELS, List.of("m"), List.of("a"),
-				List.of("gpu"), VMS, MAXIMUM, Resource.Fencing.CHECKED, 8, 0, 0, List.of());
+				List.of("gpu"), VM_COUNT, MAXIMUM, Resource.Fencing.CHECKED, 8, 0, 0, List.of());
 		accept(new CapacityEvent.ConfigurationApplied(
 				Configuration.empty().with(1, List.of(pool, new Resource.Model("m", "1", 800)), List.of())));
 		accept(new CapacityEvent.LeaseTaken(1));
@@ -48,11 +48,11 @@
 	// slot is busy, so that no more streams can run, and only the queue shows what is
 	// lacking.
 	@Test
-	void shouldGrowWhenStreamsWaitAllThroughWindow() {
+	void shouldGrowWhenStreamsQueueThroughoutWindow() {
 		this.running = 12;
 		this.queued = 30;
 		run(29);
-		assertThat(target()).isEqualTo(VMS);
+		assertThat(target()).isEqualTo(VM_COUNT);
 		run(32);
 		assertThat(target()).isEqualTo(7);
 	}
@@ -60,7 +60,7 @@
 	// The bill grows with every burst: streams that wait for some seconds are gone long
 	// before a VM has booted for them.
 	@Test
-	void shouldStayWhenStreamsWaitInBursts() {
+	void shouldKeepSizeWhenStreamsQueueInBursts() {
 		this.running = 12;
 		for (int i = 0; i < 20; i++) {
 			this.queued = 30;
@@ -68,13 +68,13 @@
 			this.queued = 0;
 			run(15);
 		}
-		assertThat(target()).isEqualTo(VMS);
+		assertThat(target()).isEqualTo(VM_COUNT);
 	}
 
 	// Engines are given back in a lull and bought again minutes later, each time for a
 	// boot and a load of weights.
 	@Test
-	void shouldShrinkSlowlyWhenNeedFalls() {
+	void shouldShrinkSlowlyWhenDemandFalls() {
 		this.running = 120;
 		run(10);
 		assertThat(target()).isEqualTo(20);
@@ -88,12 +88,12 @@
 		}
 		assertThat(targets).containsExactly(18, 17, 16, 15);
 		run(3_600);
-		assertThat(target()).isEqualTo(VMS);
+		assertThat(target()).isEqualTo(VM_COUNT);
 	}
 
 	// The pool is too small right after a lull, when a new peak comes while it shrinks.
 	@Test
-	void shouldGrowAtOnceWhenNeedReturnsWhileShrinking() {
+	void shouldGrowImmediatelyWhenDemandReturnsWhileShrinking() {
 		this.running = 120;
 		run(10);
 		this.running = 12;
@@ -114,34 +114,34 @@
 	private void run(long seconds) {
 		for (long i = 0; i < 4 * seconds; i++) {
 			this.now += SECOND / 4;
-			this.decisions.tick(this.now).forEach(this::answer);
+			this.decisions.tick(this.now).forEach(this::respond);
 		}
 	}
 
-	private void answer(CapacityCommand command) {
+	private void respond(CapacityCommand command) {
 		switch (command) {
 			case CapacityCommand.Read read -> accept(switch (read.source()) {
 				case INTENTS -> new CapacityEvent.IntentsRead(List.of());
-				case OFFERS -> new CapacityEvent.OffersRead(List.of(new Offer(SORT, 1, 0)));
+				case OFFERS -> new CapacityEvent.OffersRead(List.of(new Offer(OFFER_KEY, 1, 0)));
 				case NOTICES -> new CapacityEvent.NoticesRead(0, Map.of());
 				case VMS -> new CapacityEvent.VmsRead(this.now, List.of(vm("vm-1"), vm("vm-2")));
 			});
-			case CapacityCommand.ReadState read -> state(read.vm());
-			case CapacityCommand.Order order -> state(order.vm());
+			case CapacityCommand.ReadState read -> reportState(read.vm());
+			case CapacityCommand.Order order -> reportState(order.vm());
 			case CapacityCommand.WriteIntent write -> accept(new CapacityEvent.IntentFailed(write.intent().token()));
 			default -> {
 			}
 		}
 	}
 
-	private void state(VmId vm) {
+	private void reportState(VmId vm) {
 		boolean first = vm.value().equals("vm-1");
 		accept(new CapacityEvent.StateRead(vm, this.now, new ServerState(1, List.of("m@1"), List.of(), List.of(), false,
 				first ? this.running : 0, first ? this.queued : 0, Map.of())));
 	}
 
 	private static CloudVm vm(String id) {
-		return new CloudVm(new VmId(id), "f0-" + id, "assistant", SORT, CloudVm.State.RUNNING, id + ":1");
+		return new CloudVm(new VmId(id), "f0-" + id, "assistant", OFFER_KEY, CloudVm.State.RUNNING, id + ":1");
 	}
 
 	private void accept(CapacityEvent event) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/SimulatedController.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/SimulatedController.java
@@ -20,7 +20,7 @@
  */
 final class SimulatedController {
 
-	private static final long TICK = 100 * VirtualWorld.MILLI;
+	private static final long TICK_NANOS = 100 * Simulation.MILLI;
 
 	final String name;
 
@@ -28,7 +28,7 @@
 
 	final CapacityDecisions decisions;
 
-	private final VirtualWorld world;
+	private final Simulation simulation;
 
 	private final FakeTables tables;
 
@@ -37,13 +37,13 @@
 	private final CapacitySettings settings;
 
 	/** How fast its clock runs, and from where. */
-	private final double rate;
+	private final double clockRate;
 
-	private final long offset;
+	private final long clockOffset;
 
-	private final java.util.ArrayDeque<Runnable> inbox = new java.util.ArrayDeque<>();
+	private final java.util.ArrayDeque<Runnable> pendingEvents = new java.util.ArrayDeque<>();
 
-	private final java.util.ArrayDeque<CapacityCommand> decided = new java.util.ArrayDeque<>();
+	private final java.util.ArrayDeque<CapacityCommand> pendingCommands = new java.util.ArrayDeque<>();
 
 	boolean paused;
 
@@ -55,44 +55,44 @@
 	java.util.function.Consumer<String> beforeCommand = (_) -> {
 	};
 
-	private long leadingFence;
+	private long fence;
 
-	private boolean fenceAsked;
+	private boolean fenceReadPending;
 
 	private long fenceVersion;
 
 	SimulatedController(String name, FakeCloud cloud, LeaseTerms terms, CapacitySettings settings, long seed) {
 		this.name = name;
 		this.cloud = cloud;
-		this.world = cloud.world;
+		this.simulation = cloud.simulation;
 		this.tables = cloud.tables;
 		this.settings = settings;
-		this.rate = 1 + (this.world.random.nextDouble() - 0.5) / 500;
-		this.offset = this.world.random.nextLong(1L << 40);
+		this.clockRate = 1 + (this.simulation.random.nextDouble() - 0.5) / 500;
+		this.clockOffset = this.simulation.random.nextLong(1L << 40);
 		this.lease = LeaseMachine.of(name, terms, seed);
 		this.decisions = CapacityDecisions.of(settings, seed);
-		this.world.after(this.world.random.nextLong(TICK), this::step);
+		this.simulation.after(this.simulation.random.nextLong(TICK_NANOS), this::step);
 	}
 
 	long clock() {
-		return this.offset + (long) (this.world.now * this.rate);
+		return this.clockOffset + (long) (this.simulation.now * this.clockRate);
 	}
 
 	boolean mayOrder() {
 		return !this.crashed && this.lease.mayOrder(clock());
 	}
 
-	void configuration(Configuration configuration) {
+	void applyConfiguration(Configuration configuration) {
 		post(() -> this.decisions.accept(new CapacityEvent.ConfigurationApplied(configuration), clock()));
 	}
 
-	void leavingLearned(VmId vm) {
-		answer(new CapacityEvent.LeavingLearned(vm));
+	void reportLeaving(VmId vm) {
+		postEvent(new CapacityEvent.LeavingLearned(vm));
 	}
 
 	void pause(long nanos) {
 		this.paused = true;
-		this.world.after(nanos, () -> this.paused = false);
+		this.simulation.after(nanos, () -> this.paused = false);
 	}
 
 	// -- control thread
@@ -101,59 +101,60 @@
 		if (this.crashed) {
 			return;
 		}
-		this.world.after(TICK, this::step);
+		this.simulation.after(TICK_NANOS, this::step);
 		if (this.paused) {
 			return;
 		}
 		// A process that was paused in the middle goes on with what it had decided.
-		if (carryOut()) {
-			while (!this.inbox.isEmpty()) {
-				this.inbox.poll().run();
+		if (executePending()) {
+			while (!this.pendingEvents.isEmpty()) {
+				this.pendingEvents.poll().run();
 			}
 			this.lease.tick(clock()).forEach(this::execute);
-			follow();
-			this.decided.addAll(this.decisions.tick(clock()));
-			carryOut();
+			followLease();
+			this.pendingCommands.addAll(this.decisions.tick(clock()));
+			executePending();
 		}
 	}
 
-	private boolean carryOut() {
-		while (!this.decided.isEmpty() && !this.paused && !this.crashed) {
-			this.beforeCommand.accept(this.decided.peek().getClass().getSimpleName());
+	private boolean executePending() {
+		while (!this.pendingCommands.isEmpty() && !this.paused && !this.crashed) {
+			this.beforeCommand.accept(this.pendingCommands.peek().getClass().getSimpleName());
 			if (!this.paused && !this.crashed) {
-				execute(this.decided.poll());
+				execute(this.pendingCommands.poll());
 			}
 		}
-		return this.decided.isEmpty();
+		return this.pendingCommands.isEmpty();
 	}
 
 	private void post(Runnable event) {
-		this.inbox.add(event);
+		this.pendingEvents.add(event);
 	}
 
-	private void answer(CapacityEvent event) {
+	private void postEvent(CapacityEvent event) {
 		post(() -> this.decisions.accept(event, clock()));
 	}
 
-	private void follow() {
-		boolean held = mayOrder();
-		if (!held && this.leadingFence != 0) {
-			this.leadingFence = 0;
+	private void followLease() {
+		boolean leaseHeld = mayOrder();
+		if (!leaseHeld && this.fence != 0) {
+			this.fence = 0;
 			this.decisions.accept(new CapacityEvent.LeaseLost(), clock());
 		}
-		if (held && this.leadingFence != this.lease.fence() && !this.fenceAsked) {
-			this.fenceAsked = true;
+		if (leaseHeld && this.fence != this.lease.fence() && !this.fenceReadPending) {
+			this.fenceReadPending = true;
 			long fence = this.lease.fence();
-			this.world.call(() -> this.tables.down ? Optional.<FakeTables.Row>empty() : this.tables.read("lease/fence"),
+			this.simulation.call(
+					() -> this.tables.unavailable ? Optional.<FakeTables.Row>empty() : this.tables.read("lease/fence"),
 					(row) -> post(() -> {
-						this.fenceAsked = false;
+						this.fenceReadPending = false;
 						if (row.isPresent() && row.get().value().equals(fence) && fence == this.lease.fence()
 								&& mayOrder()) {
-							this.leadingFence = fence;
+							this.fence = fence;
 							this.fenceVersion = row.get().version();
 							this.decisions.accept(new CapacityEvent.LeaseTaken(fence), clock());
 						}
-					}), () -> post(() -> this.fenceAsked = false));
+					}), () -> post(() -> this.fenceReadPending = false));
 		}
 	}
 
@@ -163,12 +164,12 @@
 		this.beforeCommand.accept(command.getClass().getSimpleName());
 		switch (command) {
 			case LeaseCommand.Read read ->
-				this.world.call(() -> this.tables.down ? null : this.tables.read("lease/controller"),
-						(row) -> lease((row != null)
+				this.simulation.call(() -> this.tables.unavailable ? null : this.tables.read("lease/controller"),
+						(row) -> postLeaseEvent((row != null)
 								? new LeaseEvent.RowRead(read.number(), row.map((found) -> (LeaseRow) found.value()),
 										row.map(FakeTables.Row::version).orElse(0L))
 								: new LeaseEvent.ReadFailed(read.number())),
-						() -> lease(new LeaseEvent.ReadFailed(read.number())));
+						() -> postLeaseEvent(new LeaseEvent.ReadFailed(read.number())));
 			case LeaseCommand.Write write -> {
 				String token = write.row().token();
 				Map<String, Optional<Object>> writes = new HashMap<>();
@@ -176,15 +177,16 @@
 				if (write.takeOver()) {
 					writes.put("lease/fence", Optional.of(write.row().fence()));
 				}
-				this.world.call(() -> this.tables.commit(Map.of("lease/controller", write.version()), writes),
-						(outcome) -> lease(outcome.committed() ? new LeaseEvent.WriteCommitted(token, outcome.version())
-								: new LeaseEvent.WriteRejected(token)),
-						() -> lease(new LeaseEvent.WriteUnknown(token)));
+				this.simulation.call(() -> this.tables.commit(Map.of("lease/controller", write.version()), writes),
+						(outcome) -> postLeaseEvent(
+								outcome.committed() ? new LeaseEvent.WriteCommitted(token, outcome.version())
+										: new LeaseEvent.WriteRejected(token)),
+						() -> postLeaseEvent(new LeaseEvent.WriteUnknown(token)));
 			}
 		}
 	}
 
-	private void lease(LeaseEvent event) {
+	private void postLeaseEvent(LeaseEvent event) {
 		post(() -> this.lease.accept(event, clock()));
 	}
 
@@ -194,25 +196,26 @@
 		switch (command) {
 			case CapacityCommand.Read read -> read(read);
 			case CapacityCommand.ReadState read -> {
-				long asked = clock();
+				long requestedNanos = clock();
 				Machine machine = this.cloud.machines.get(read.vm().value());
-				engine(read.vm(), asked, machine, machine::report);
+				callEngine(read.vm(), requestedNanos, machine, machine::report);
 			}
 			case CapacityCommand.AnnounceLeaving leaving -> {
 				Machine machine = this.cloud.machines.get(leaving.vm().value());
-				machine.drainedAt = (machine.drainedAt != 0) ? machine.drainedAt : this.world.now;
-				this.cloud.announced.accept(leaving.vm());
+				machine.drainStartNanos = (machine.drainStartNanos != 0) ? machine.drainStartNanos
+						: this.simulation.now;
+				this.cloud.leavingListener.accept(leaving.vm());
 			}
 			case CapacityCommand.WriteIntent write -> {
 				String token = write.intent().token();
-				if (withheld(new CapacityEvent.IntentFailed(token))) {
+				if (rejectWithoutLease(new CapacityEvent.IntentFailed(token))) {
 					return;
 				}
 				commit(token, Map.of("intents/" + token, 0L, "lease/fence", this.fenceVersion),
 						Optional.of(write.intent()), new CapacityEvent.IntentWritten(token));
 			}
 			case CapacityCommand.DeleteIntent delete -> {
-				if (withheld(new CapacityEvent.IntentFailed(delete.token()))) {
+				if (rejectWithoutLease(new CapacityEvent.IntentFailed(delete.token()))) {
 					return;
 				}
 				commit(delete.token(), Map.of("lease/fence", this.fenceVersion), Optional.empty(),
@@ -220,33 +223,33 @@
 			}
 			case CapacityCommand.Buy buy -> buy(buy.intent());
 			case CapacityCommand.Release release -> {
-				if (withheld(new CapacityEvent.ReleaseFailed(release.vm()))) {
+				if (rejectWithoutLease(new CapacityEvent.ReleaseFailed(release.vm()))) {
 					return;
 				}
-				this.world.call(() -> {
-					this.cloud.release(release.vm(), this.settings.drainMillis() * VirtualWorld.MILLI * 99 / 100);
+				this.simulation.call(() -> {
+					this.cloud.release(release.vm(), this.settings.drainMillis() * Simulation.MILLI * 99 / 100);
 					return true;
-				}, (_) -> answer(new CapacityEvent.Released(release.vm())),
-						() -> answer(new CapacityEvent.ReleaseFailed(release.vm())));
+				}, (_) -> postEvent(new CapacityEvent.Released(release.vm())),
+						() -> postEvent(new CapacityEvent.ReleaseFailed(release.vm())));
 			}
 			case CapacityCommand.Order order -> {
-				if (withheld(new CapacityEvent.StateUnknown(order.vm()))) {
+				if (rejectWithoutLease(new CapacityEvent.StateUnknown(order.vm()))) {
 					return;
 				}
 				long fence = this.lease.fence();
 				Machine machine = this.cloud.machines.get(order.vm().value());
-				engine(order.vm(), clock(), machine, () -> machine.order(fence, order));
+				callEngine(order.vm(), clock(), machine, () -> machine.order(fence, order));
 			}
 		}
 	}
 
 	private void read(CapacityCommand.Read read) {
-		long asked = clock();
-		this.world.call(() -> (CapacityEvent) switch (read.source()) {
+		long requestedNanos = clock();
+		this.simulation.call(() -> (CapacityEvent) switch (read.source()) {
 			case INTENTS ->
-				this.tables.down ? new CapacityEvent.ReadFailed(read.source()) : new CapacityEvent.IntentsRead(
+				this.tables.unavailable ? new CapacityEvent.ReadFailed(read.source()) : new CapacityEvent.IntentsRead(
 						this.tables.scan("intents/").values().stream().map((row) -> (Intent) row.value()).toList());
-			case VMS -> new CapacityEvent.VmsRead(asked, this.cloud.vms());
+			case VMS -> new CapacityEvent.VmsRead(requestedNanos, this.cloud.vms());
 			case OFFERS -> new CapacityEvent.OffersRead(this.cloud.offers());
 			case NOTICES -> {
 				Map<VmId, Long> remaining = new HashMap<>();
@@ -254,13 +257,14 @@
 				all.subList((int) read.after(), all.size()).forEach((vm) -> remaining.put(vm, 1L));
 				yield new CapacityEvent.NoticesRead(all.size(), remaining);
 			}
-		}, this::answer, () -> answer(new CapacityEvent.ReadFailed(read.source())));
+		}, this::postEvent, () -> postEvent(new CapacityEvent.ReadFailed(read.source())));
 	}
 
-	private void engine(VmId vm, long asked, Machine machine, java.util.function.Supplier<ServerState> effect) {
-		this.world.call(() -> machine.answers() ? effect.get() : null, (state) -> {
+	private void callEngine(VmId vm, long requestedNanos, Machine machine,
+			java.util.function.Supplier<ServerState> effect) {
+		this.simulation.call(() -> machine.isResponsive() ? effect.get() : null, (state) -> {
 			if (state == null) {
-				answer(new CapacityEvent.StateUnknown(vm));
+				postEvent(new CapacityEvent.StateUnknown(vm));
 				return;
 			}
 			post(() -> {
@@ -268,38 +272,38 @@
 					this.lease.fenceSeen(state.fence());
 				}
 			});
-			answer(new CapacityEvent.StateRead(vm, asked, state));
-		}, () -> answer(new CapacityEvent.StateUnknown(vm)));
+			postEvent(new CapacityEvent.StateRead(vm, requestedNanos, state));
+		}, () -> postEvent(new CapacityEvent.StateUnknown(vm)));
 	}
 
-	private void commit(String token, Map<String, Long> conditions, Optional<Object> value, CapacityEvent done) {
+	private void commit(String token, Map<String, Long> conditions, Optional<Object> value, CapacityEvent success) {
 		long fence = this.lease.fence();
-		this.world.call(() -> this.tables.commit(conditions, Map.of("intents/" + token, value)), (outcome) -> {
+		this.simulation.call(() -> this.tables.commit(conditions, Map.of("intents/" + token, value)), (outcome) -> {
 			if (outcome.fenced()) {
 				post(() -> this.lease.fenceSeen(fence + 1));
 			}
-			answer((outcome.refused() || outcome.fenced()) ? new CapacityEvent.IntentFailed(token) : done);
-		}, () -> answer(new CapacityEvent.IntentFailed(token)));
+			postEvent((outcome.unavailable() || outcome.fenced()) ? new CapacityEvent.IntentFailed(token) : success);
+		}, () -> postEvent(new CapacityEvent.IntentFailed(token)));
 	}
 
 	private void buy(Intent intent) {
 		String token = intent.token();
-		if (withheld(new CapacityEvent.BuyUnknown(token))) {
+		if (rejectWithoutLease(new CapacityEvent.BuyUnknown(token))) {
 			return;
 		}
-		this.world.call(() -> {
-			this.cloud.intentStood(token);
+		this.simulation.call(() -> {
+			this.cloud.checkIntentWritten(token);
 			return this.cloud.buy(intent);
-		}, (vm) -> answer(vm.<CapacityEvent>map((sold) -> new CapacityEvent.Bought(token, sold))
-			.orElse(new CapacityEvent.BuyRefused(token))), () -> answer(new CapacityEvent.BuyUnknown(token)));
+		}, (vm) -> postEvent(vm.<CapacityEvent>map((sold) -> new CapacityEvent.Bought(token, sold))
+			.orElse(new CapacityEvent.BuyRefused(token))), () -> postEvent(new CapacityEvent.BuyUnknown(token)));
 	}
 
-	private boolean withheld(CapacityEvent instead) {
+	private boolean rejectWithoutLease(CapacityEvent failure) {
 		if (!mayOrder()) {
-			answer(instead);
+			postEvent(failure);
 			return true;
 		}
-		this.cloud.changeSent(this);
+		this.cloud.checkSoleLeaseHolder(this);
 		return false;
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/VirtualWorld.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/Simulation.java
@@ -8,11 +8,11 @@
 import java.util.function.Supplier;
 
 /** Virtual time, the messages under way and what was seen to go wrong. */
-final class VirtualWorld {
+final class Simulation {
 
 	static final long MILLI = 1_000_000;
 
-	static final long TIMEOUT = 1_000 * MILLI;
+	static final long TIMEOUT_NANOS = 1_000 * MILLI;
 
 	final SplittableRandom random;
 
@@ -25,15 +25,15 @@
 	long now = 1_000_000 * MILLI;
 
 	/** The share of requests that are lost before they take effect. */
-	double lostRequests;
+	double requestLossRate;
 
 	/** The share of answers that are lost after the request took effect. */
-	double lostAnswers;
+	double responseLossRate;
 
 	/** The longest way of a message, in milliseconds. */
-	long slowestMillis = 20;
+	long maxDelayMillis = 20;
 
-	VirtualWorld(long seed) {
+	Simulation(long seed) {
 		this.random = new SplittableRandom(seed);
 	}
 
@@ -42,25 +42,25 @@
 	}
 
 	// A request with its answer; the caller hears of a lost one at its time-out.
-	<T> void call(Supplier<T> effect, Consumer<T> answered, Runnable unknown) {
-		boolean[] ended = { false };
-		if (this.random.nextDouble() >= this.lostRequests) {
-			after(way(), () -> {
-				T answer = effect.get();
-				if (this.random.nextDouble() >= this.lostAnswers) {
-					after(way(), () -> {
-						if (!ended[0]) {
-							ended[0] = true;
-							answered.accept(answer);
+	<T> void call(Supplier<T> effect, Consumer<T> onResponse, Runnable onTimeout) {
+		boolean[] completed = { false };
+		if (this.random.nextDouble() >= this.requestLossRate) {
+			after(randomDelayNanos(), () -> {
+				T response = effect.get();
+				if (this.random.nextDouble() >= this.responseLossRate) {
+					after(randomDelayNanos(), () -> {
+						if (!completed[0]) {
+							completed[0] = true;
+							onResponse.accept(response);
 						}
 					});
 				}
 			});
 		}
-		after(TIMEOUT, () -> {
-			if (!ended[0]) {
-				ended[0] = true;
-				unknown.run();
+		after(TIMEOUT_NANOS, () -> {
+			if (!completed[0]) {
+				completed[0] = true;
+				onTimeout.run();
 			}
 		});
 	}
@@ -75,14 +75,14 @@
 		this.now = end;
 	}
 
-	void check(boolean holds, String what) {
-		if (!holds) {
-			this.violations.add(this.now / MILLI + " ms: " + what);
+	void check(boolean satisfied, String message) {
+		if (!satisfied) {
+			this.violations.add(this.now / MILLI + " ms: " + message);
 		}
 	}
 
-	private long way() {
-		return 1 + this.random.nextLong(this.slowestMillis * MILLI);
+	private long randomDelayNanos() {
+		return 1 + this.random.nextLong(this.maxDelayMillis * MILLI);
 	}
 
 	private record Event(long at, long sequence, Runnable action) implements Comparable<Event> {
