--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityDecisions.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityDecisions.java
@@ -58,7 +58,7 @@
 				this.tables.pools.values()
 					.stream()
 					.map((row) -> new CapacityStatus.PoolStatus(row.pool.name(), row.target, row.plan.total(),
-							row.plan.survives(), (int) row.vms.stream().filter(row::isServing).count()))
+							row.plan.survives(), (int) row.vms.stream().filter(row::isReady).count()))
 					.toList(),
 				this.tables.vms.values().stream().map(CapacityDecisions::status).toList(),
 				this.tables.intents.values().stream().map((row) -> row.intent).toList());
@@ -180,8 +180,8 @@
 			VmRow row = this.tables.findOrAdd(vm, nowNanos);
 			// A notice is final; a list that was made before it must not bring the VM
 			// back.
-			boolean stale = row.vm.state() == State.RECLAIMING && vm.state() == State.RUNNING;
-			row.vm = stale ? row.vm : vm;
+			boolean outdated = row.vm.state() == State.RECLAIMING && vm.state() == State.RUNNING;
+			row.vm = outdated ? row.vm : vm;
 			IntentRow intent = this.tables.intents.get(vm.token());
 			if (intent != null && intent.isOpen()) {
 				PurchaseSystem.bought(this.tables, vm.token(), vm, nowNanos);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/DrainSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/DrainSystem.java
@@ -36,7 +36,7 @@
 	}
 
 	private static void drainSurplus(CapacityTables tables, PoolRow row, long nowNanos) {
-		List<VmRow> ready = new ArrayList<>(row.vms.stream().filter(row::isServing).toList());
+		List<VmRow> ready = new ArrayList<>(row.vms.stream().filter(row::isReady).toList());
 		int surplus = ready.size() - row.plan.total();
 		if (surplus <= 0 || (row.plan.total() == 0 && row.pool.minimum() > 0)) {
 			return;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PlacementSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PlacementSystem.java
@@ -104,7 +104,7 @@
 	// Whether a pool is whole and nothing is under way in it.
 	private static boolean isStable(PoolRow row) {
 		return row.totalCount == row.plan.total() && row.intents.isEmpty()
-				&& row.vms.stream().allMatch((vm) -> row.isServing(vm) || !vm.countsTowardsSize())
+				&& row.vms.stream().allMatch((vm) -> row.isReady(vm) || !vm.countsTowardsSize())
 				&& row.vms.stream().noneMatch((vm) -> vm.draining);
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PollSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PollSystem.java
@@ -56,7 +56,7 @@
 				if (pendingRequests < MAX_CONCURRENT_ENGINE_READS && row.isRunning() && !row.requestPending
 						&& nowNanos - row.nextReadNanos >= 0) {
 					row.requestPending = true;
-					row.nextReadNanos = nowNanos + engineReadInterval(tables, pool, row);
+					row.nextReadNanos = nowNanos + engineReadIntervalNanos(tables, pool, row);
 					commands.add(new CapacityCommand.ReadState(row.id, row.vm.address()));
 					pendingRequests++;
 				}
@@ -70,8 +70,9 @@
 		row.readUnderLease |= succeeded;
 		long pollMillis = tables.settings.pollMillis();
 		row.nextReadNanos = nowNanos + tables.jittered(succeeded ? switch (source) {
-			case VMS -> isChanging(tables) ? Math.max(pollMillis, fleetReadMillis(tables) / CHANGING_INTERVAL_DIVISOR)
-					: Math.max(STABLE_INTERVAL_FACTOR * pollMillis, fleetReadMillis(tables));
+			case VMS ->
+				isChanging(tables) ? Math.max(pollMillis, fleetIntervalMillis(tables) / CHANGING_INTERVAL_DIVISOR)
+						: Math.max(STABLE_INTERVAL_FACTOR * pollMillis, fleetIntervalMillis(tables));
 			case OFFERS -> OFFERS_INTERVAL_FACTOR * pollMillis;
 			// A write of an intent can take effect long after it was given up and
 			// repeated.
@@ -85,15 +86,15 @@
 				|| tables.vms.values().stream().anyMatch((row) -> row.vm.state() != State.RUNNING || row.draining);
 	}
 
-	private static long engineReadInterval(CapacityTables tables, PoolRow pool, VmRow row) {
+	private static long engineReadIntervalNanos(CapacityTables tables, PoolRow pool, VmRow row) {
 		long pollMillis = tables.settings.pollMillis();
-		boolean stable = pool.isServing(row) && tables.isStateCurrent(pool, row) && row.unresponsiveSinceNanos.isEmpty()
+		boolean stable = pool.isReady(row) && tables.isStateCurrent(pool, row) && row.unresponsiveSinceNanos.isEmpty()
 				&& row.oldVersionsSinceNanos.isEmpty() && row.actualState.orElseThrow().loading().isEmpty();
 		return tables
-			.jittered(stable ? Math.max(STABLE_INTERVAL_FACTOR * pollMillis, fleetReadMillis(tables)) : pollMillis);
+			.jittered(stable ? Math.max(STABLE_INTERVAL_FACTOR * pollMillis, fleetIntervalMillis(tables)) : pollMillis);
 	}
 
-	private static long fleetReadMillis(CapacityTables tables) {
+	private static long fleetIntervalMillis(CapacityTables tables) {
 		return tables.vms.size() * tables.settings.pollPerVmMillis();
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PoolRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PoolRow.java
@@ -88,7 +88,7 @@
 	}
 
 	// Whether a VM serves what its pool serves, in any version.
-	boolean isServing(VmRow row) {
+	boolean isReady(VmRow row) {
 		if (!row.countsTowardsSize() || !row.isRunning()) {
 			return false;
 		}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/ControllerFaultTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/ControllerFaultTests.java
@@ -251,7 +251,7 @@
 	// it. And when the controller itself is cut off, all engines look dead at once: it
 	// must not give back those that still serve.
 	@Test
-	void shouldReplaceUnresponsiveEngineWhenMostEnginesRespond() {
+	void shouldReplaceUnresponsiveEngineWhenMostOthersRespond() {
 		Deployment deployment = new Deployment(8, false);
 		assertThat(deployment.converges(MAX_CONVERGENCE_MILLIS)).isTrue();
 		Machine unresponsive = deployment.cloud.live().getFirst();
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/FakeCloud.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/FakeCloud.java
@@ -105,11 +105,11 @@
 		if (machine == null || machine.state == State.GONE) {
 			return;
 		}
-		boolean beforeLimit = machine.drainStartNanos == 0
+		boolean beforeDrainLimit = machine.drainStartNanos == 0
 				|| this.simulation.now - machine.drainStartNanos < drainLimit;
-		this.simulation.check(machine.running == 0 || machine.state != State.RUNNING || !beforeLimit,
+		this.simulation.check(machine.running == 0 || machine.state != State.RUNNING || !beforeDrainLimit,
 				"released " + vm + " with " + machine.running + " streams before its drain limit");
-		this.simulation.check(machine.draining || machine.state != State.RUNNING || !beforeLimit,
+		this.simulation.check(machine.draining || machine.state != State.RUNNING || !beforeDrainLimit,
 				"released " + vm + " while it takes work");
 		machine.state = State.GONE;
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/SimulatedController.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/SimulatedController.java
@@ -71,7 +71,7 @@
 		this.clockOffset = this.simulation.random.nextLong(1L << 40);
 		this.lease = LeaseMachine.of(name, terms, seed);
 		this.decisions = CapacityDecisions.of(settings, seed);
-		this.simulation.after(this.simulation.random.nextLong(TICK_NANOS), this::step);
+		this.simulation.after(this.simulation.random.nextLong(TICK_NANOS), this::runTick);
 	}
 
 	long clock() {
@@ -97,11 +97,11 @@
 
 	// -- control thread
 
-	private void step() {
+	private void runTick() {
 		if (this.crashed) {
 			return;
 		}
-		this.simulation.after(TICK_NANOS, this::step);
+		this.simulation.after(TICK_NANOS, this::runTick);
 		if (this.paused) {
 			return;
 		}
