--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityCommand.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityCommand.java
@@ -5,33 +5,33 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * Something that the controller must ask of the platform or of a backend server. Each one
- * is answered by a {@link CapacityEvent}.
+ * A request that the controller must send to the platform or to a backend server. A
+ * {@link CapacityEvent} reports the outcome of each.
  */
 public sealed interface CapacityCommand {
 
 	// -- platform
 
 	/**
-	 * Read from the platform.
+	 * Reads data from the platform.
 	 *
 	 * @param source what to read
-	 * @param after for notices: the number of the last one known
+	 * @param after the number of the last notice already read, 0 for other sources
 	 */
 	record Read(Source source, long after) implements CapacityCommand {
 	}
 
 	/**
-	 * Write an intent on the condition that the lease's fencing number still stands.
+	 * Writes an intent on the condition that the lease's fencing number is unchanged.
 	 *
 	 * @param intent the intent
-	 * @param reason why this sort of VM, for the decision log
+	 * @param reason why this VM type was chosen, for the decision log
 	 */
 	record WriteIntent(Intent intent, String reason) implements CapacityCommand {
 	}
 
 	/**
-	 * Buy what a written intent says.
+	 * Buys the VM that a written intent describes.
 	 *
 	 * @param intent the intent
 	 */
@@ -39,16 +39,16 @@
 	}
 
 	/**
-	 * Delete an intent that has ended.
+	 * Deletes the intent of a purchase that has ended.
 	 *
-	 * @param token the purchase
+	 * @param token the token of the purchase
 	 * @param reason why, for the decision log
 	 */
 	record DeleteIntent(String token, String reason) implements CapacityCommand {
 	}
 
 	/**
-	 * Give a VM back.
+	 * Releases a VM to the cloud.
 	 *
 	 * @param vm the VM
 	 * @param reason why, for the decision log
@@ -59,7 +59,7 @@
 	// -- backend servers
 
 	/**
-	 * Read the state of a model engine.
+	 * Reads the state of a model engine.
 	 *
 	 * @param vm the VM
 	 * @param address its address
@@ -68,13 +68,13 @@
 	}
 
 	/**
-	 * Order a wanted state.
+	 * Sends an engine its desired state.
 	 *
 	 * @param vm the VM
 	 * @param address its address
-	 * @param models the models wanted, each {@code name@version}
-	 * @param adapters the adapters wanted, each {@code name@version}
-	 * @param drain whether it must take no new streams
+	 * @param models the desired models, each {@code name@version}
+	 * @param adapters the desired adapters, each {@code name@version}
+	 * @param drain whether the engine must accept no new streams
 	 * @param reason why, for the decision log
 	 */
 	record Order(VmId vm, String address, List<String> models, List<String> adapters, boolean drain,
@@ -82,7 +82,7 @@
 	}
 
 	/**
-	 * Tell the entries that a VM is leaving.
+	 * Announces to the entries that a VM is leaving.
 	 *
 	 * @param vm the VM
 	 * @param remainingMillis the time left, in milliseconds
@@ -91,13 +91,13 @@
 	record AnnounceLeaving(VmId vm, long remainingMillis, String reason) implements CapacityCommand {
 	}
 
-	/** What is read from the platform. */
+	/** A kind of data that is read from the platform. */
 	enum Source {
 
 		/** Open intents. */
 		INTENTS,
 
-		/** The cloud's VMs. */
+		/** VMs of the cloud. */
 		VMS,
 
 		/** Offers. */
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityDecisions.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityDecisions.java
@@ -17,9 +17,9 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * Decides which VMs a deployment has and what its engines load. Deterministic: no input
- * or output, the time and the seed are passed in. Used by one thread only, the control
- * thread. Times are on the monotonic clock, in nanoseconds.
+ * Decides which VMs a deployment has and what its engines load. Deterministic: it
+ * performs no input or output, and the time and the random seed are passed in. Only the
+ * control thread may use it. Times are on the monotonic clock, in nanoseconds.
  *
  * <pre>
  * decisions.accept(new CapacityEvent.LeaseTaken(fence), now);
@@ -34,22 +34,18 @@
 		this.tables = tables;
 	}
 
-	// -- factories
-
 	/**
-	 * Decisions that know nothing yet.
+	 * Creates decisions that have no state yet.
 	 * @param settings the limits
-	 * @param seed the seed of the jitter
+	 * @param seed the random seed of the jitter
 	 * @return the decisions
 	 */
 	public static CapacityDecisions of(CapacitySettings settings, long seed) {
 		return new CapacityDecisions(new CapacityTables(Objects.requireNonNull(settings, "settings is null"), seed));
 	}
 
-	// -- queries
-
 	/**
-	 * What is known now.
+	 * Returns the current status of pools, VMs and purchases.
 	 * @return the status
 	 */
 	public CapacityStatus status() {
@@ -70,12 +66,10 @@
 				row.actualState.map(ServerState::running).orElse(0));
 	}
 
-	// -- changes
-
 	/**
-	 * Lets time pass and runs all systems.
-	 * @param nowNanos the time
-	 * @return what to ask of the platform and the engines, in order; nothing without the
+	 * Runs all systems at the given time.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the commands for the platform and the engines, in order; empty without the
 	 * lease
 	 */
 	public List<CapacityCommand> tick(long nowNanos) {
@@ -97,9 +91,9 @@
 	}
 
 	/**
-	 * Takes an event into the tables.
-	 * @param event what happened
-	 * @param nowNanos the time
+	 * Applies an event to the tables.
+	 * @param event the event
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void accept(CapacityEvent event, long nowNanos) {
 		switch (event) {
@@ -178,8 +172,8 @@
 			}
 			listed.put(vm.id(), vm);
 			VmRow row = this.tables.findOrAdd(vm, nowNanos);
-			// A notice is final; a list that was made before it must not bring the VM
-			// back.
+			// A reclaim notice is final: a list made before it must not set the VM back
+			// to running.
 			boolean outdated = row.vm.state() == State.RECLAIMING && vm.state() == State.RUNNING;
 			row.vm = outdated ? row.vm : vm;
 			IntentRow intent = this.tables.intents.get(vm.token());
@@ -187,7 +181,7 @@
 				PurchaseSystem.bought(this.tables, vm.token(), vm, nowNanos);
 			}
 		}
-		// A VM bought after the list was asked for is missing in it and not gone.
+		// A VM bought after the list was requested is missing from it but not terminated.
 		this.tables.vms.values()
 			.removeIf((row) -> !listed.containsKey(row.id) && row.firstSeenNanos - read.requestedNanos() < 0);
 		PollSystem.readCompleted(this.tables, Source.VMS, true, nowNanos);
@@ -216,7 +210,8 @@
 		row.unresponsiveSinceNanos = OptionalLong.empty();
 		row.actualState = Optional.of(read.state());
 		row.stateRequestedNanos = read.requestedNanos();
-		// Entries keep "leaving" for good, so that a drained engine is never put back.
+		// The entries never take a leaving VM back into service, so neither does the
+		// controller with a drained engine.
 		if (read.state().draining()) {
 			row.startDrain(nowNanos, "found-draining");
 		}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityEvent.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityEvent.java
@@ -7,14 +7,14 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * Something that happened and that the capacity decisions must know.
+ * An event that the capacity decisions take into account.
  */
 public sealed interface CapacityEvent {
 
 	// -- lease and configuration
 
 	/**
-	 * This process took the lease; everything known before may be out of date.
+	 * This process took the lease; all state read before may be out of date.
 	 *
 	 * @param fence the fencing number
 	 */
@@ -26,7 +26,7 @@
 	}
 
 	/**
-	 * A configuration is in force.
+	 * A configuration took effect.
 	 *
 	 * @param configuration the configuration
 	 */
@@ -46,7 +46,7 @@
 	/**
 	 * The cloud's VMs were read.
 	 *
-	 * @param requestedNanos when they were asked for
+	 * @param requestedNanos when the list was requested
 	 * @param vms all VMs
 	 */
 	record VmsRead(long requestedNanos, List<CloudVm> vms) implements CapacityEvent {
@@ -55,14 +55,14 @@
 	/**
 	 * Reclaim notices were read.
 	 *
-	 * @param lastNumber the number of the last one known now
+	 * @param lastNumber the number of the last notice read
 	 * @param remainingMillis the time that each reclaimed VM has left, in milliseconds
 	 */
 	record NoticesRead(long lastNumber, Map<VmId, Long> remainingMillis) implements CapacityEvent {
 	}
 
 	/**
-	 * Somebody else said that a VM is leaving, which is final.
+	 * Another process reported that a VM is leaving, which is final.
 	 *
 	 * @param vm the VM
 	 */
@@ -70,7 +70,7 @@
 	}
 
 	/**
-	 * A read of the platform failed; it is asked again later.
+	 * A read of the platform failed; it is retried later.
 	 *
 	 * @param source what was read
 	 */
@@ -88,25 +88,25 @@
 	}
 
 	/**
-	 * An intent stands in the table service.
+	 * An intent was written to the table service.
 	 *
-	 * @param token the purchase
+	 * @param token the token of the purchase
 	 */
 	record IntentWritten(String token) implements CapacityEvent {
 	}
 
 	/**
-	 * An intent could not be written or deleted, or this is unknown.
+	 * An intent could not be written or deleted, or the outcome is unknown.
 	 *
-	 * @param token the purchase
+	 * @param token the token of the purchase
 	 */
 	record IntentFailed(String token) implements CapacityEvent {
 	}
 
 	/**
-	 * An intent no longer stands in the table service.
+	 * An intent is no longer in the table service.
 	 *
-	 * @param token the purchase
+	 * @param token the token of the purchase
 	 */
 	record IntentDeleted(String token) implements CapacityEvent {
 	}
@@ -114,7 +114,7 @@
 	/**
 	 * The cloud sold a VM.
 	 *
-	 * @param token the purchase
+	 * @param token the token of the purchase
 	 * @param vm the VM
 	 */
 	record Bought(String token, CloudVm vm) implements CapacityEvent {
@@ -123,21 +123,21 @@
 	/**
 	 * The cloud refused to start a VM.
 	 *
-	 * @param token the purchase
+	 * @param token the token of the purchase
 	 */
 	record BuyRefused(String token) implements CapacityEvent {
 	}
 
 	/**
-	 * Whether the cloud sold a VM is unknown.
+	 * It is unknown whether the cloud sold a VM.
 	 *
-	 * @param token the purchase
+	 * @param token the token of the purchase
 	 */
 	record BuyUnknown(String token) implements CapacityEvent {
 	}
 
 	/**
-	 * The cloud took a VM back.
+	 * The cloud confirmed the release of a VM.
 	 *
 	 * @param vm the VM
 	 */
@@ -145,7 +145,7 @@
 	}
 
 	/**
-	 * The cloud did not say that it took a VM back.
+	 * The cloud did not confirm the release of a VM.
 	 *
 	 * @param vm the VM
 	 */
@@ -155,17 +155,17 @@
 	// -- backend servers
 
 	/**
-	 * A backend server said what it does, as an answer to a read or an order.
+	 * A backend server reported its state in response to a read or an order.
 	 *
 	 * @param vm the VM
-	 * @param requestedNanos when it was asked
+	 * @param requestedNanos when the request was sent
 	 * @param state its state
 	 */
 	record StateRead(VmId vm, long requestedNanos, ServerState state) implements CapacityEvent {
 	}
 
 	/**
-	 * A backend server did not answer a read or an order.
+	 * A backend server did not respond to a read or an order.
 	 *
 	 * @param vm the VM
 	 */
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityTables.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityTables.java
@@ -12,7 +12,7 @@
 import org.rosemaryfront.model.Configuration;
 import org.rosemaryfront.model.VmId;
 
-/** The entities that the capacity systems run over; owned by the control thread. */
+/** The entities that the capacity systems process; owned by the control thread. */
 final class CapacityTables {
 
 	private static final int MAX_LEAVING_VMS = 4_000;
@@ -23,7 +23,7 @@
 
 	final SortedMap<VmId, VmRow> vms = new TreeMap<>();
 
-	/** VMs said to be leaving, which is final; kept for a later lease too. */
+	/** VMs reported as leaving, which is final; kept across leases. */
 	final Set<VmId> leaving = new LinkedHashSet<>();
 
 	final SortedMap<String, IntentRow> intents = new TreeMap<>();
@@ -54,35 +54,38 @@
 		}
 	}
 
-	// Whether enough is known under this lease to act. Without the intents a purchase of
-	// an earlier holder would be made again, and without the VMs all would be.
+	// Returns whether enough state was read under this lease to act. Without the intents,
+	// purchases of an earlier lease holder would be repeated; without the VMs, all
+	// purchases would be.
 	boolean isSynchronised() {
 		return this.leaseHeld && this.configuration.revision() > 0
 				&& this.sources.values().stream().allMatch((source) -> source.readUnderLease);
 	}
 
-	// When orders may go to a pool. Engines that ignore the fencing number may still take
-	// an order of the holder before, as long as it is valid.
+	// Returns the time from which orders may be sent to a pool. Engines that ignore the
+	// fencing number may accept an order of the previous lease holder while it is valid.
 	long ordersAllowedFromNanos(PoolRow pool) {
 		return pool.ignoresFencing()
 				? this.leaseTakenNanos + CapacitySettings.toNanos(this.settings.orderValidityMillis())
 				: this.leaseTakenNanos;
 	}
 
-	// Whether the engine's answer is recent enough to act on under this lease.
+	// Returns whether the engine's last report is recent enough to act on under this
+	// lease.
 	boolean isStateCurrent(PoolRow pool, VmRow row) {
 		return row.actualState.isPresent() && row.stateRequestedNanos - ordersAllowedFromNanos(pool) >= 0;
 	}
 
-	// A random time of half to one and a half times the given one, in nanoseconds.
+	// Returns a random time from half to one and a half times the given one, in
+	// nanoseconds.
 	long jittered(long millis) {
 		long nanos = CapacitySettings.toNanos(millis);
 		return nanos / 2 + this.random.nextLong(nanos + 1);
 	}
 
-	// Keeps that a VM is leaving. A process that does not hold the lease has no row for
-	// it, and forgetting it would put the VM back into service after a take-over, while
-	// the entries send it nothing any more.
+	// Records that a VM is leaving. A process without the lease has no row for the VM;
+	// without this record it would return the VM to service after taking the lease, while
+	// the entries no longer send requests to it.
 	void markLeaving(VmId vm) {
 		this.leaving.add(vm);
 		if (this.leaving.size() > MAX_LEAVING_VMS) {
@@ -98,7 +101,7 @@
 		return row;
 	}
 
-	// Sorts VMs and purchases by pool, for the systems of this tick.
+	// Groups VMs and open purchases by pool, for the systems of this tick.
 	void groupByPool() {
 		this.pools.values().forEach(PoolRow::reset);
 		for (VmRow row : this.vms.values()) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CloudVm.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CloudVm.java
@@ -5,14 +5,14 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * A VM as the cloud knows it.
+ * A VM as reported by the cloud.
  *
  * @param id the VM
- * @param token the purchase that it came from
+ * @param token the token of its purchase
  * @param pool the name of its pool
- * @param sort what it is
+ * @param sort its VM type
  * @param state its state
- * @param address the address of its backend server, empty until it runs
+ * @param address the address of its backend server, empty before it runs
  */
 public record CloudVm(VmId id, String token, String pool, OfferKey sort, State state, String address) {
 
@@ -25,16 +25,16 @@
 	/** The state of a VM. */
 	public enum State {
 
-		/** It boots. */
+		/** The VM boots. */
 		STARTING,
 
-		/** It runs. */
+		/** The VM runs. */
 		RUNNING,
 
-		/** A reclaim notice was given. */
+		/** The cloud has sent a reclaim notice. */
 		RECLAIMING,
 
-		/** It is gone. */
+		/** The VM is terminated. */
 		GONE
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/DrainSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/DrainSystem.java
@@ -7,9 +7,10 @@
 import org.rosemaryfront.capacity.CloudVm.State;
 
 /**
- * Gives VMs back: those that are too many, that no declared pool owns, that never booted
- * or that stay silent. Each is drained first, so that no stream is cut off: it takes no
- * new work, and is released when nothing runs on it or at the drain's limit.
+ * Releases VMs that are surplus, belong to no declared pool, did not boot or have an
+ * unresponsive engine. Each VM is drained first so that no stream is interrupted: it
+ * accepts no new work and is released when nothing runs on it or when the drain limit has
+ * passed.
  */
 final class DrainSystem {
 
@@ -58,8 +59,9 @@
 		return Math.max(0, row.countIn(vm.zone()) - row.plan.countIn(vm.zone()));
 	}
 
-	// Replaces engines that no longer answer. When most of a pool is silent, this process
-	// is the one that is cut off: giving all of them back would end every stream.
+	// Replaces engines that no longer respond. If more than half of a pool is
+	// unresponsive, this process is assumed to be disconnected: releasing all these VMs
+	// would end every stream.
 	private static void drainUnresponsive(CapacityTables tables, PoolRow row, long nowNanos) {
 		long unresponsive = row.vms.stream().filter((vm) -> vm.unresponsiveSinceNanos.isPresent()).count();
 		if (unresponsive * 2 > Math.max(2, row.vms.size())) {
@@ -87,7 +89,7 @@
 		}
 	}
 
-	// Why a drained VM may be released now, empty when it may not.
+	// Returns why a drained VM may be released now, empty if it may not.
 	private static String releaseReason(CapacityTables tables, PoolRow pool, VmRow row, long nowNanos) {
 		if (row.vm.state() == State.STARTING) {
 			return hasElapsed(row.firstSeenNanos, tables.settings.bootMillis(), nowNanos) ? "never-ran" : "";
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/Intent.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/Intent.java
@@ -3,12 +3,12 @@
 import java.util.Objects;
 
 /**
- * A purchase that is written to the table service before the cloud is asked, so that a
- * successor can end it.
+ * A purchase that is written to the table service before the cloud is asked for the VM,
+ * so that the next lease holder can complete it.
  *
- * @param token names the purchase towards the cloud, which sells once for each token
+ * @param token identifies the purchase to the cloud, which sells one VM for each token
  * @param pool the name of the pool
- * @param sort what is bought
+ * @param sort the VM type
  */
 public record Intent(String token, String pool, OfferKey sort) {
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/IntentRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/IntentRow.java
@@ -1,6 +1,6 @@
 package org.rosemaryfront.capacity;
 
-/** A purchase in the tables of the capacity decisions. */
+/** The state of a purchase. */
 final class IntentRow {
 
 	final Intent intent;
@@ -9,7 +9,6 @@
 
 	Phase phase;
 
-	/** Whether an answer is awaited. */
 	boolean requestPending;
 
 	long nextAttemptNanos;
@@ -24,7 +23,7 @@
 		this.phase = phase;
 	}
 
-	// Whether a VM may come of it.
+	// Returns whether the purchase may still yield a VM.
 	boolean isOpen() {
 		return this.phase != Phase.ENDED;
 	}
@@ -37,19 +36,19 @@
 		this.failures = 0;
 	}
 
-	/** How far a purchase is. */
+	/** The progress of a purchase. */
 	enum Phase {
 
-		/** It must be written to the table service. */
+		/** The intent must be written to the table service. */
 		PLANNED,
 
-		/** It stands in the table service; an earlier holder wrote it. */
+		/** An earlier lease holder wrote the intent to the table service. */
 		FOUND,
 
-		/** It stands in the table service and the cloud may be asked. */
+		/** The intent is in the table service and the VM may be bought. */
 		WRITTEN,
 
-		/** Its outcome is known and its row must be deleted. */
+		/** The outcome is known and the intent must be deleted. */
 		ENDED
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/Market.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/Market.java
@@ -1,12 +1,12 @@
 package org.rosemaryfront.capacity;
 
-/** How a VM is sold. */
+/** The market on which a VM is sold. */
 public enum Market {
 
-	/** Cheap, and may be reclaimed at short notice. */
+	/** Cheaper, but the cloud may reclaim the VM at short notice. */
 	RECLAIMABLE,
 
-	/** Kept until given back. */
+	/** The VM is kept until it is released. */
 	ON_DEMAND
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/Offer.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/Offer.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * What VMs of one sort cost.
+ * The price and the reclaim rate of a VM type.
  *
- * @param key the sort
- * @param pricePerHour the price of one VM for an hour
- * @param reclaimsPerHour the share of VMs that are reclaimed an hour
+ * @param key the VM type
+ * @param pricePerHour the price of one VM per hour
+ * @param reclaimsPerHour the fraction of VMs that are reclaimed per hour
  */
 public record Offer(OfferKey key, double pricePerHour, double reclaimsPerHour) {
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/OfferKey.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/OfferKey.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * A sort of VM that the cloud sells.
+ * A VM type that the cloud sells.
  *
  * @param zone the availability zone
  * @param machineClass the machine class
- * @param market how it is sold
+ * @param market the market on which it is sold
  */
 public record OfferKey(String zone, String machineClass, Market market) implements Comparable<OfferKey> {
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/OfferRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/OfferRow.java
@@ -1,29 +1,30 @@
 package org.rosemaryfront.capacity;
 
-/** An offer and the back-off after its refusals. */
+/** An offer with its back-off after refused starts. */
 final class OfferRow {
 
 	Offer offer;
 
-	/** Refusals since the last start. */
+	/** Refused starts since the last successful one. */
 	int refusals;
 
 	long blockedUntilNanos;
 
-	/** Purchases of this sort under way. */
+	/** Open purchases of this VM type. */
 	int openPurchases;
 
 	OfferRow(Offer offer) {
 		this.offer = offer;
 	}
 
-	// Whether a VM may be asked for. After a refusal one purchase at a time probes the
-	// offer: many at once would be a storm of starts on a cloud that has none.
+	// Returns whether a VM may be bought. After a refusal only one purchase at a time
+	// probes the offer: concurrent ones would flood a cloud without capacity with start
+	// requests.
 	boolean isAvailable(long nowNanos) {
 		return (this.refusals == 0) || (nowNanos - this.blockedUntilNanos >= 0 && this.openPurchases == 0);
 	}
 
-	// The price for an hour, with what its reclaims cost.
+	// Returns the price per hour, including the expected cost of reclaims.
 	double effectivePrice(double reclaimCostHours) {
 		return this.offer.pricePerHour() * (1 + this.offer.reclaimsPerHour() * reclaimCostHours);
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/OrderSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/OrderSystem.java
@@ -7,11 +7,12 @@
 import org.rosemaryfront.model.Resource;
 
 /**
- * Orders model engines to the declared state. An order states the whole wanted state, so
- * that repeating it is harmless. A new version is loaded beside the old one, which is
- * dropped only after the new one is there, one zone at a time, so that capacity holds.
- * The old one stays until no stream runs on it or the drain's limit has passed. No more
- * than a bounded number of engines load at a time, for the weight store's rate.
+ * Sends model engines the orders that bring them to the declared state. An order contains
+ * the complete desired state, so that repeating it is harmless. A new version is loaded
+ * while the old one still serves, in one zone at a time, and the old one is dropped only
+ * after the new one is loaded, so that capacity is not reduced. The old version is kept
+ * until no stream runs on it or the drain limit has passed. The number of engines that
+ * load concurrently is limited because of the throughput of the weight store.
  */
 final class OrderSystem {
 
@@ -81,10 +82,11 @@
 		return (state.fence() < tables.fence) ? Action.UPDATE_FENCE : Action.NONE;
 	}
 
-	// Whether there are old versions and they may go. An engine that drops a version may
-	// cut off its streams, which callers see as broken answers: they are waited for, but
-	// not longer than the drain's limit, so that one endless stream can't hold the memory
-	// of a version for good.
+	// Returns whether there are old versions that may be dropped. An engine that drops a
+	// version may interrupt its streams, which callers see as truncated responses.
+	// Streams
+	// are awaited no longer than the drain limit, so that an endless stream cannot keep a
+	// version in memory forever.
 	private static boolean mayDropOldVersions(CapacityTables tables, PoolRow pool, VmRow row, long nowNanos) {
 		ServerState state = row.actualState.orElseThrow();
 		List<String> oldVersions = new ArrayList<>(state.models());
@@ -110,7 +112,8 @@
 		return row.actualState.map((state) -> !state.models().isEmpty()).orElse(false);
 	}
 
-	// The one zone in which engines change what they have loaded, empty for none.
+	// Returns the only zone in which engines may replace loaded versions, empty if there
+	// is none.
 	private static String updatingZone(CapacityTables tables, PoolRow pool) {
 		String first = "";
 		for (VmRow row : pool.vms) {
@@ -153,7 +156,10 @@
 		return all;
 	}
 
-	/** What an engine must be told. */
+	/**
+	 * The next order for an engine. {@code UPDATE_FENCE} repeats the desired state with
+	 * the fencing number of this lease.
+	 */
 	private enum Action {
 
 		NONE, LOAD, DROP, UPDATE_FENCE, DRAIN
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PlacementSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PlacementSystem.java
@@ -6,14 +6,18 @@
 import java.util.Optional;
 
 /**
- * Plans purchases: first what a pool lacks, then, one at a time, what makes it cheaper or
- * safer. Zones below their share come first, then any zone that still sells; within a
- * zone the cheapest open offer wins, so that on-demand VMs are bought only while
- * reclaimable ones are refused, and are exchanged when these return.
+ * Plans purchases: first those that a pool lacks, then, one at a time, those that make it
+ * cheaper or spread it better across zones. Zones below their planned share come first,
+ * then any zone with an available offer. Within a zone the cheapest available offer is
+ * chosen, so that on-demand VMs are bought only while reclaimable ones are refused, and
+ * are replaced when these are available again.
  */
 final class PlacementSystem {
 
-	/** What an exchange must save to be worth a boot and a load of weights. */
+	/**
+	 * A replacement must cost less than this fraction of the VM's price to be worth a
+	 * boot and a load of weights.
+	 */
 	private static final double MAX_REPLACEMENT_PRICE_RATIO = 0.9;
 
 	private PlacementSystem() {
@@ -95,13 +99,15 @@
 		return highestPrice;
 	}
 
-	// What a VM costs; nothing is known of one whose sort is no longer offered.
+	// Returns the effective price of a VM, 0 if its VM type is no longer offered and the
+	// price is therefore unknown.
 	static double effectivePrice(CapacityTables tables, VmRow vm) {
 		OfferRow offer = tables.offers.get(vm.vm.sort());
 		return (offer != null) ? offer.effectivePrice(tables.settings.reclaimCostHours()) : 0;
 	}
 
-	// Whether a pool is whole and nothing is under way in it.
+	// Returns whether a pool has its planned size and no purchase, boot, load or drain is
+	// in progress.
 	private static boolean isStable(PoolRow row) {
 		return row.totalCount == row.plan.total() && row.intents.isEmpty()
 				&& row.vms.stream().allMatch((vm) -> row.isReady(vm) || !vm.countsTowardsSize())
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PollSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PollSystem.java
@@ -6,8 +6,8 @@
 import org.rosemaryfront.capacity.CloudVm.State;
 
 /**
- * Asks the platform and the engines for their state. The time between two reads grows
- * with the number of VMs, so that the messages of a lease holder do not.
+ * Reads the state of the platform and the engines. The interval between two reads grows
+ * with the number of VMs, so that the message rate of the lease holder does not.
  */
 final class PollSystem {
 
@@ -20,8 +20,8 @@
 	private static final int STABLE_INTERVAL_FACTOR = 5;
 
 	/**
-	 * While VMs start or leave, their list is read more often by this factor: a
-	 * replacement waits for it before its first order.
+	 * Divides the interval between reads of the VM list while VMs start or leave, because
+	 * a replacement receives its first order only after the list shows that it runs.
 	 */
 	private static final int CHANGING_INTERVAL_DIVISOR = 40;
 
@@ -34,9 +34,8 @@
 			if (row.requestPending || (row.nextReadNanos != Long.MIN_VALUE && nowNanos - row.nextReadNanos < 0)) {
 				continue;
 			}
-			// The VMs are read after the intents: a purchase that ended in between is
-			// then seen
-			// as a VM at least.
+			// The VMs are read after the intents, so that a purchase that ends between
+			// the two reads is seen at least as a VM.
 			if (source == Source.VMS && !tables.sources.get(Source.INTENTS).readUnderLease) {
 				continue;
 			}
@@ -74,8 +73,8 @@
 				isChanging(tables) ? Math.max(pollMillis, fleetIntervalMillis(tables) / CHANGING_INTERVAL_DIVISOR)
 						: Math.max(STABLE_INTERVAL_FACTOR * pollMillis, fleetIntervalMillis(tables));
 			case OFFERS -> OFFERS_INTERVAL_FACTOR * pollMillis;
-			// A write of an intent can take effect long after it was given up and
-			// repeated.
+			// Intents are read again because a write can take effect long after it was
+			// given up and retried.
 			case INTENTS -> INTENTS_INTERVAL_FACTOR * pollMillis;
 			case NOTICES -> pollMillis;
 		} : pollMillis);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PoolRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PoolRow.java
@@ -9,7 +9,7 @@
 import org.rosemaryfront.model.Resource.Pool;
 import org.rosemaryfront.model.Resource.Serves;
 
-/** A pool with what its systems computed in this tick. */
+/** A pool with the values that the systems compute for it. */
 final class PoolRow {
 
 	Pool pool;
@@ -18,7 +18,7 @@
 
 	final List<IntentRow> intents = new ArrayList<>();
 
-	// VMs and open purchases by zone.
+	// The number of VMs and open purchases by zone.
 	final Map<String, Integer> countByZone = new TreeMap<>();
 
 	int totalCount;
@@ -27,14 +27,14 @@
 
 	SpreadPlan plan = SpreadPlan.empty();
 
-	/** What the plan was made from. */
+	/** The inputs of the current plan, which is computed again when they change. */
 	List<Object> planInputs = List.of();
 
 	int peakDemand;
 
 	long nextShrinkNanos;
 
-	/** The fewest streams that waited at any moment of the last whole window. */
+	/** The minimum number of queued streams during the last complete window. */
 	int sustainedQueue;
 
 	int minQueueInWindow;
@@ -87,7 +87,7 @@
 		this.totalCount++;
 	}
 
-	// Whether a VM serves what its pool serves, in any version.
+	// Returns whether a VM serves what its pool serves, in any version.
 	boolean isReady(VmRow row) {
 		if (!row.countsTowardsSize() || !row.isRunning()) {
 			return false;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PoolSizeSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PoolSizeSystem.java
@@ -7,18 +7,19 @@
 import java.util.TreeMap;
 
 /**
- * Decides how many backend servers each pool wants and in which zones.
+ * Decides how many backend servers each pool needs and in which zones.
  *
  * <p>
- * The target is the minimum, or what keeps the measured streams under the busy share of
- * the slots: those that run and those that waited all through a window of
- * {@value #QUEUE_WINDOW_MILLIS} ms. A shorter queue is a burst that has gone before a VM
- * has booted.
+ * The target is the number of servers that keeps the measured streams within the busy
+ * share of the slots, limited by the pool's minimum and maximum. The measured streams are
+ * those that run and those that were queued throughout a window of
+ * {@value #QUEUE_WINDOW_MILLIS} ms. A shorter queue is a burst that ends before a VM has
+ * booted.
  *
  * <p>
- * The target grows at once. It shrinks only when the need was lower for
- * {@value #SHRINK_DELAY_MILLIS} ms, and then by a tenth, at least one, every
- * {@value #SHRINK_INTERVAL_MILLIS} ms, since a VM that was given back too early costs a
+ * The target grows immediately. It shrinks only after demand was lower for
+ * {@value #SHRINK_DELAY_MILLIS} ms, and then by a tenth, but at least one, every
+ * {@value #SHRINK_INTERVAL_MILLIS} ms, because a VM that is released too early costs a
  * boot and a load of weights.
  */
 final class PoolSizeSystem {
@@ -80,7 +81,7 @@
 		}
 	}
 
-	// The least price of a VM in each zone that the pool may use.
+	// Returns the lowest effective price of a VM in each zone that the pool may use.
 	private static Map<String, Double> lowestPrices(CapacityTables tables, PoolRow row) {
 		Map<String, Double> prices = new TreeMap<>();
 		for (OfferRow offer : tables.offers.values()) {
@@ -92,13 +93,13 @@
 		return prices;
 	}
 
-	// Whether a pool may use a sort of VM; empty lists allow all.
+	// Returns whether a pool may use a VM type; empty lists allow all.
 	static boolean allows(PoolRow row, OfferKey key) {
 		return (row.pool.zones().isEmpty() || row.pool.zones().contains(key.zone()))
 				&& (row.pool.machineClasses().isEmpty() || row.pool.machineClasses().contains(key.machineClass()));
 	}
 
-	// The cheapest offer of a zone that is open now.
+	// Returns the cheapest available offer of a zone.
 	static Optional<OfferRow> cheapestAvailable(CapacityTables tables, PoolRow row, String zone, long nowNanos) {
 		return tables.offers.values()
 			.stream()
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PurchaseSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PurchaseSystem.java
@@ -5,9 +5,10 @@
 import org.rosemaryfront.capacity.IntentRow.Phase;
 
 /**
- * Takes each purchase from its intent to its VM. The intent is written before the cloud
- * is asked and deleted after the VM is known, so that at every step a successor finds
- * either the intent, which it may buy again under the same token, or the VM.
+ * Carries out each purchase, from its intent to its VM. The intent is written before the
+ * cloud is asked for the VM and deleted after the VM is known, so that at every step the
+ * next lease holder finds either the intent, which it may buy again under the same token,
+ * or the VM.
  */
 final class PurchaseSystem {
 
@@ -53,7 +54,8 @@
 		}
 	}
 
-	// The same step is asked again: all of them are idempotent by the token.
+	// Schedules the same step again, which is safe because the token makes every step
+	// idempotent.
 	static void retry(CapacityTables tables, String token, long nowNanos) {
 		IntentRow row = tables.intents.get(token);
 		if (row != null) {
@@ -85,8 +87,7 @@
 		row.end("refused");
 		OfferRow offer = tables.offers.get(row.intent.sort());
 		if (offer != null) {
-			// Purchases that were under way together are refused together; they count
-			// once.
+			// Concurrent purchases are refused together and count as one refusal.
 			if (offer.refusals == 0 || nowNanos - offer.blockedUntilNanos >= 0) {
 				offer.refusals++;
 				offer.blockedUntilNanos = nowNanos + backOffNanos(tables, offer.refusals);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/ServerState.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/ServerState.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * What a model engine says of itself.
+ * The state that a model engine reports.
  *
- * @param fence the fencing number of the last order it took
+ * @param fence the fencing number of the last order it accepted
  * @param models the models loaded, each {@code name@version}
  * @param adapters the adapters loaded, each {@code name@version}
  * @param loading the models and adapters that are loading
- * @param draining whether it takes no new streams
- * @param running the streams running
- * @param queued the streams waiting, 0 when the engine does not tell
- * @param streams the streams running and waiting for each {@code name@version} that has
- * any; empty with streams running when the engine does not tell
+ * @param draining whether it accepts no new streams
+ * @param running the number of running streams
+ * @param queued the number of queued streams, 0 if the engine does not report it
+ * @param streams the number of running and queued streams for each {@code name@version}
+ * that has any; empty while streams run if the engine does not report it
  */
 public record ServerState(long fence, List<String> models, List<String> adapters, List<String> loading,
 		boolean draining, int running, int queued, Map<String, Integer> streams) {
@@ -27,9 +27,10 @@
 	}
 
 	/**
-	 * Whether streams run, or may run, on any of some versions.
+	 * Returns whether streams run, or may run, on any of the given versions.
 	 * @param versions models and adapters, each {@code name@version}
-	 * @return true also when the engine does not tell on which versions its streams run
+	 * @return whether streams may run on them; also true if streams run and the engine
+	 * does not report their versions
 	 */
 	public boolean mayHaveStreamsOn(List<String> versions) {
 		return (this.streams.isEmpty()) ? this.running > 0 : versions.stream().anyMatch(this.streams::containsKey);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/SourceRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/SourceRow.java
@@ -1,6 +1,6 @@
 package org.rosemaryfront.capacity;
 
-/** When a part of the platform is read again. */
+/** The state of the reads from one source of the platform. */
 final class SourceRow {
 
 	boolean requestPending;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/SpreadPlan.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/SpreadPlan.java
@@ -5,18 +5,19 @@
 import java.util.TreeMap;
 
 /**
- * How many VMs of a pool each availability zone gets, at the least price, so that the
+ * The number of VMs of a pool in each availability zone, at the lowest price at which the
  * loss of any one zone leaves the target.
  *
  * <p>
- * For each greatest count m of a zone, target + m VMs in zones of at most m survive the
- * loss of any zone; filling the cheapest zones first is the cheapest way for that m, and
- * the cheapest m wins. When the maximum forbids it, the VMs that are allowed are spread
- * as evenly as can be, and {@link #survives} tells what is left after a loss.
+ * For each maximum m of VMs per zone, target + m VMs with at most m in a zone leave the
+ * target after the loss of any zone. Filling the cheapest zones first gives the lowest
+ * price for that m, and the m with the lowest price is chosen. If the pool's maximum is
+ * too low for this, the allowed VMs are spread as evenly as possible, and
+ * {@link #survives} is the number left after a loss.
  *
- * @param counts the VMs by zone
- * @param total all VMs
- * @param survives the VMs left after the loss of the zone with most of them
+ * @param counts the number of VMs by zone
+ * @param total the total number of VMs
+ * @param survives the number of VMs left after the loss of the zone that has the most
  */
 record SpreadPlan(Map<String, Integer> counts, int total, int survives) {
 
@@ -25,11 +26,11 @@
 	}
 
 	/**
-	 * Finds the plan.
+	 * Computes the plan with the lowest price.
 	 * @param zones the zones, cheapest first
 	 * @param prices the price of a VM in each zone
-	 * @param target what must be left after the loss of a zone
-	 * @param maximum the greatest number of VMs
+	 * @param target the number of VMs that must be left after the loss of a zone
+	 * @param maximum the maximum number of VMs
 	 * @return the plan
 	 */
 	static SpreadPlan of(List<String> zones, Map<String, Double> prices, int target, int maximum) {
@@ -53,7 +54,7 @@
 		if (best.total() > 0) {
 			return best;
 		}
-		// With one zone, or a low maximum, no plan survives whole.
+		// With one zone or a low maximum, no plan leaves the target after a loss.
 		int total = (zones.size() == 1) ? Math.min(target, maximum) : maximum;
 		return fill(zones, (total + zones.size() - 1) / zones.size(), total);
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/VmRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/VmRow.java
@@ -6,7 +6,7 @@
 import org.rosemaryfront.capacity.CloudVm.State;
 import org.rosemaryfront.model.VmId;
 
-/** A VM in the tables of the capacity decisions. */
+/** The state of a VM and of its engine. */
 final class VmRow {
 
 	final VmId id;
@@ -21,7 +21,7 @@
 
 	String drainReason = "";
 
-	// What the engine last said, empty before its first answer under this lease.
+	// The engine's last report, empty before its first response under this lease.
 	Optional<ServerState> actualState = Optional.empty();
 
 	long stateRequestedNanos;
@@ -30,10 +30,10 @@
 
 	long nextReadNanos;
 
-	/** When the engine's silence began; empty while it answers. */
+	/** When the engine became unresponsive; empty while it responds. */
 	OptionalLong unresponsiveSinceNanos = OptionalLong.empty();
 
-	/** Since when old versions wait for their streams; empty when there are none. */
+	/** Since when old versions are kept for their streams; empty if there are none. */
 	OptionalLong oldVersionsSinceNanos = OptionalLong.empty();
 
 	boolean releasePending;
@@ -43,7 +43,8 @@
 	long nextReleaseNanos;
 
 	/**
-	 * The last loading order, so that one order is not repeated while it is carried out.
+	 * The versions of the last order, so that a load order is not repeated while it is in
+	 * progress.
 	 */
 	String lastLoadOrder = "";
 
@@ -55,7 +56,7 @@
 		this.nextReleaseNanos = nowNanos;
 	}
 
-	// Whether it adds to its pool's size.
+	// Returns whether the VM counts towards its pool's size.
 	boolean countsTowardsSize() {
 		return !this.draining && (this.vm.state() == State.STARTING || this.vm.state() == State.RUNNING);
 	}
