--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/ControllerFaultTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/ControllerFaultTests.java
@@ -16,7 +16,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The controller's faults at every step, on virtual time. */
+/** Tests of faults at every step of the controller, on virtual time. */
 class ControllerFaultTests {
 
 	private static final long MAX_CONVERGENCE_MILLIS = 300_000;
@@ -35,10 +35,10 @@
 		assertThat(deployment.simulation.violations).isEmpty();
 	}
 
-	// An operator sees VMs bought twice, left over or half loaded after one fault. The
-	// holder reaches a step, the fault strikes right there, and another process, or the
-	// same one after its pause, must go on from what the table service and the cloud
-	// show.
+	// Guards against VMs that are bought twice, left over or half loaded after one fault.
+	// The fault occurs when the lease holder reaches the step; another process, or the
+	// same one after its pause, must continue from the state of the table service and the
+	// cloud.
 	@ParameterizedTest(name = "{0} at {1}, fencing checked: {2}")
 	@MethodSource("faultsAtSteps")
 	void shouldReachDeclaredStateWhenFaultOccursAtStep(Fault fault, String step, boolean fencingChecked) {
@@ -95,9 +95,10 @@
 		};
 	}
 
-	// Engines that ignore the fencing number still take an order of the holder before:
-	// the new holder's order would be undone by one that is under way. It must wait out
-	// the longest validity before its first order.
+	// Guards against an order in transit from the previous lease holder that undoes one
+	// of
+	// the new holder. Engines that ignore the fencing number accept it while it is valid,
+	// so the new holder must wait for the validity period before its first order.
 	@Test
 	void shouldWaitUntilOrdersExpireWhenEnginesIgnoreFencing() {
 		Deployment deployment = new Deployment(9, false);
@@ -119,18 +120,19 @@
 			.isGreaterThanOrEqualTo((Deployment.SETTINGS.orderValidityMillis() - 20) * Simulation.MILLI);
 	}
 
-	// A caller's streams run on VMs that are bought and given back in turn, and the
-	// bill grows: a cloud without VMs is asked again and again. All offers refuse; each
-	// refusal doubles the pause of its offer, and only one purchase at a time probes an
-	// offer.
+	// Guards against repeated start requests to a cloud without capacity, which cause VMs
+	// with streams to be bought and released in turn and raise the bill. All offers are
+	// refused; each refusal doubles the back-off of its offer, and only one purchase at a
+	// time probes an offer.
 	@Test
 	void shouldBackOffWhenAllStartsAreRefused() {
 		Deployment deployment = new Deployment(3, false);
 		deployment.cloud.refusingZones.addAll(Deployment.ZONES);
 		deployment.simulation.run(120 * SECOND);
 		int offers = deployment.cloud.prices.size();
-		// Doubling from half of 2 s up to 10 s at least: at most 20 probes in 120 s, and
-		// one burst of the purchases planned before the first refusal.
+		// The back-off doubles from at least half of 2 s up to at least 10 s: at most 20
+		// probes of an offer in 120 s, and one burst of the purchases planned before the
+		// first refusal.
 		assertThat(deployment.cloud.refusals)
 			.isLessThanOrEqualTo(Deployment.SETTINGS.startsAtOnce() + Deployment.MAXIMUM + offers * 20);
 		deployment.cloud.refusingZones.clear();
@@ -138,8 +140,8 @@
 		assertThat(deployment.simulation.violations).isEmpty();
 	}
 
-	// The bill stays high for good after a shortage: reclaimable VMs were refused for a
-	// while, on-demand ones took their place, and nobody exchanges them afterwards.
+	// Guards against permanently higher cost after a shortage: on-demand VMs were bought
+	// while reclaimable ones were refused and are not replaced afterwards.
 	@Test
 	void shouldReplaceOnDemandVmsWhenReclaimableOffersReturn() {
 		Deployment deployment = new Deployment(4, true);
@@ -161,9 +163,9 @@
 		return deployment.cloud.live().stream().map((machine) -> machine.intent.sort().market()).toList();
 	}
 
-	// A caller gets no answer during an upgrade: every engine drops its old version first
-	// and loads for seconds. The new one must be there before the old one goes, in one
-	// zone at a time.
+	// Guards against an outage during an upgrade in which every engine drops its old
+	// version first and then loads for seconds. The new version must be loaded before the
+	// old one is dropped, in one zone at a time.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void shouldKeepServingWhenModelVersionChanges(boolean fencingChecked) {
@@ -182,9 +184,9 @@
 		}
 	}
 
-	// Callers' answers break off at an upgrade: the new version is loaded, and the order
-	// that drops the old one cuts off what still runs on it. The old one must stay until
-	// its streams have ended; a successor that takes over meanwhile must keep it too.
+	// Guards against streams that are interrupted by an upgrade: the order that drops the
+	// old version ends what still runs on it. The old version must be kept until its
+	// streams have ended, also by a process that takes the lease in the meantime.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void shouldKeepOldVersionWhenStreamsRunOnIt(boolean holderCrashes) {
@@ -207,9 +209,10 @@
 		assertThat(deployment.simulation.violations).isEmpty();
 	}
 
-	// An upgrade never ends: a stream that its caller forgot holds the old version, or
-	// the engine does not tell on which version its streams run and new ones keep
-	// coming.
+	// Guards against an upgrade that never ends: an abandoned stream keeps the old
+	// version
+	// in use, or the engine does not report on which version its streams run and new ones
+	// keep arriving.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void shouldDropOldVersionWhenDrainLimitPasses(boolean engineReportsVersions) {
@@ -230,8 +233,8 @@
 		assertThat(deployment.converges(MAX_CONVERGENCE_MILLIS)).isTrue();
 	}
 
-	// A caller's stream breaks off when a VM that is too many is given back: it still has
-	// streams. It must be drained and kept until they end or the limit passes.
+	// Guards against streams that are interrupted when a surplus VM is released. The VM
+	// must be drained and kept until its streams end or the drain limit passes.
 	@Test
 	void shouldKeepDrainedVmWhenStreamsRun() {
 		Deployment deployment = new Deployment(6, true);
@@ -247,9 +250,9 @@
 		assertThat(deployment.simulation.violations).isEmpty();
 	}
 
-	// Callers keep getting errors from a dead engine: its VM runs on and nobody replaces
-	// it. And when the controller itself is cut off, all engines look dead at once: it
-	// must not give back those that still serve.
+	// Guards against a dead engine whose VM keeps running and is never replaced, so that
+	// callers keep receiving errors. When the controller itself is disconnected, all
+	// engines appear dead; it must not release those that still serve.
 	@Test
 	void shouldReplaceUnresponsiveEngineWhenMostOthersRespond() {
 		Deployment deployment = new Deployment(8, false);
@@ -266,22 +269,25 @@
 		assertThat(deployment.simulation.violations).isEmpty();
 	}
 
-	/** What strikes at a step. */
+	/** A fault that is injected at a step. */
 	enum Fault {
 
-		/** The process dies right before the command goes out. */
+		/** The process crashes immediately before the command is sent. */
 		CRASH,
 
-		/** The process dies while the command or its answer is under way. */
+		/** The process crashes while the command or its response is in transit. */
 		CRASH_AFTER,
 
-		/** The process is paused beyond its lease right before the command goes out. */
+		/**
+		 * The process is paused immediately before the command is sent, for longer than
+		 * its lease.
+		 */
 		PAUSE,
 
-		/** The table service is down beyond the lease's term. */
+		/** The table service is unavailable for longer than the lease term. */
 		TABLE_SERVICE_OUTAGE,
 
-		/** Most answers are lost for some seconds. */
+		/** Most responses are lost for some seconds. */
 		LOST_RESPONSES
 
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/ControllerSoakTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/ControllerSoakTests.java
@@ -12,8 +12,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Random interleavings of faults, any two of them together, on virtual time. A longer
- * run: {@code -Dsoak.seeds=1000 -Dsoak.seed=1}; the name of a failing case has its seed.
+ * Tests of random sequences of faults, which may overlap, on virtual time. Options for a
+ * longer run: {@code -Dsoak.seeds=1000 -Dsoak.seed=1}; the name of a failing case
+ * contains its seed.
  */
 class ControllerSoakTests {
 
@@ -28,11 +29,11 @@
 		return LongStream.range(first, first + Long.getLong("soak.seeds", 40));
 	}
 
-	// Operators find VMs too many, streams cut off or an old version left in service
-	// after a bad hour. Crashes, pauses, outages, lost messages, reclaims, refused
-	// starts, silent engines and new declarations come at random times, several at
-	// once; when they stop, the declared state must come back, and the limits hold all
-	// the time.
+	// Guards against surplus VMs, interrupted streams and old versions left in service
+	// after several faults. Crashes, pauses, outages, lost messages, reclaims, refused
+	// starts, unresponsive engines and new declarations occur at random times and
+	// overlap. After they stop the declared state must be reached, and the limits must
+	// hold at all times.
 	@ParameterizedTest(name = "seed {0}")
 	@MethodSource("seeds")
 	void shouldReachDeclaredStateWhenRandomFaultsStop(long seed) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/Deployment.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/Deployment.java
@@ -10,7 +10,7 @@
 import org.rosemaryfront.model.Configuration;
 import org.rosemaryfront.model.Resource;
 
-/** Three controllers before a cloud with three availability zones and one pool. */
+/** Three simulated controllers that manage one pool in three availability zones. */
 final class Deployment {
 
 	static final List<String> ZONES = List.of("a", "b", "c");
@@ -19,7 +19,9 @@
 
 	static final int MAXIMUM = 9;
 
-	/** One VM more than the maximum while a dearer or badly placed one is exchanged. */
+	/**
+	 * The VMs above the maximum while a more expensive or badly placed one is replaced.
+	 */
 	static final int MAX_SURGE = 1;
 
 	static final CapacitySettings SETTINGS = new CapacitySettings(16, 4, 2_000, 20_000, 20_000, 5_000, 30_000, 10_000,
@@ -90,7 +92,8 @@
 		return this.controllers.stream().filter(SimulatedController::mayOrder).toList();
 	}
 
-	// Runs until the declared state is reached, at most the given time.
+	// Runs until the declared state is reached, for at most the given time, and returns
+	// whether it was reached.
 	boolean converges(long millis) {
 		for (long elapsed = 0; elapsed < millis; elapsed += 500) {
 			this.simulation.run(500 * Simulation.MILLI);
@@ -112,7 +115,7 @@
 
 	private void checkInvariants() {
 		this.simulation.after(50 * Simulation.MILLI, this::checkInvariants);
-		this.simulation.check(leaseHolders().size() <= 1, "two holders may order");
+		this.simulation.check(leaseHolders().size() <= 1, "two processes may send orders under the lease");
 		long activeVms = this.cloud.live().stream().filter((machine) -> machine.drainStartNanos == 0).count();
 		this.simulation.check(activeVms <= MAXIMUM + MAX_SURGE, activeVms + " VMs, maximum is " + MAXIMUM);
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/FakeCloud.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/FakeCloud.java
@@ -13,7 +13,7 @@
 import org.rosemaryfront.capacity.CloudVm.State;
 import org.rosemaryfront.model.VmId;
 
-/** A cloud in memory that sells VMs with a model engine on each. */
+/** An in-memory cloud that sells VMs with a model engine on each. */
 final class FakeCloud {
 
 	private static final long BOOT_NANOS = 3_000 * Simulation.MILLI;
@@ -64,7 +64,7 @@
 		return this.machines.values().stream().map(Machine::vm).toList();
 	}
 
-	// The VM of a token, empty when its start is refused.
+	// Returns the VM of the intent's token, empty if its start is refused.
 	Optional<CloudVm> buy(Intent intent) {
 		Machine existing = this.byToken.get(intent.token());
 		if (existing != null) {
@@ -86,14 +86,13 @@
 		return Optional.of(machine.vm());
 	}
 
-	// Called at each order, purchase and release: nobody else may hold the lease then.
+	// Called at each order, purchase and release: no other process may hold the lease.
 	void checkSoleLeaseHolder(SimulatedController sender) {
 		this.simulation.check(this.leaseHolders.get().stream().allMatch((holder) -> holder == sender),
-				sender.name + " gives orders while another holds the lease");
+				sender.name + " sends a change while another process holds the lease");
 	}
 
-	// Called at each purchase: its intent must stand, or have stood, in the table
-	// service.
+	// Called at each purchase: its intent must be, or have been, in the table service.
 	void checkIntentWritten(String token) {
 		boolean written = this.tables.read("intents/" + token).isPresent() || this.byToken.containsKey(token)
 				|| this.tables.wasWritten("intents/" + token);
@@ -110,7 +109,7 @@
 		this.simulation.check(machine.running == 0 || machine.state != State.RUNNING || !beforeDrainLimit,
 				"released " + vm + " with " + machine.running + " streams before its drain limit");
 		this.simulation.check(machine.draining || machine.state != State.RUNNING || !beforeDrainLimit,
-				"released " + vm + " while it takes work");
+				"released " + vm + " while it accepts work");
 		machine.state = State.GONE;
 	}
 
@@ -151,16 +150,17 @@
 		boolean draining;
 
 		/**
-		 * When the engine first took a drain order or the VM was announced as leaving.
+		 * When the engine first accepted a drain order or the VM was announced as
+		 * leaving.
 		 */
 		long drainStartNanos;
 
 		int running;
 
-		/** Streams by version; an engine that does not tell keeps it empty. */
+		/** Streams by version; empty if the engine does not report versions. */
 		Map<String, Integer> streams = new TreeMap<>();
 
-		/** Streams cut off because their version was dropped. */
+		/** Streams interrupted because their version was dropped. */
 		int interruptedStreams;
 
 		long fence;
@@ -183,7 +183,8 @@
 			return !this.unresponsive && (this.state == State.RUNNING || this.state == State.RECLAIMING);
 		}
 
-		// The state after an order, which an engine that checks may have refused.
+		// Returns the state after an order, which is ignored if the engine checks the
+		// fencing number and it is lower than the last one.
 		ServerState order(long orderFence, CapacityCommand.Order order) {
 			long now = this.cloud.simulation.now;
 			if (this.cloud.fencingChecked && orderFence < this.fence) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/FakeTables.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/FakeTables.java
@@ -5,7 +5,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** A table service in memory: rows with versions and conditional transactions. */
+/** An in-memory table service with row versions and conditional transactions. */
 final class FakeTables {
 
 	private final SortedMap<String, Row> rows = new TreeMap<>();
@@ -24,7 +24,7 @@
 		return new TreeMap<>(this.rows.subMap(prefix, prefix + "\uffff"));
 	}
 
-	// Writes all values when all conditions hold; an empty value deletes.
+	// Writes all values if all conditions hold; an empty value deletes the row.
 	Outcome commit(Map<String, Long> conditions, Map<String, Optional<Object>> writes) {
 		if (this.unavailable) {
 			return new Outcome(false, true, false, 0);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/PoolSizeTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/PoolSizeTests.java
@@ -13,7 +13,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The target of a pool of eight slots a server, of which six may be busy. */
+/**
+ * Tests of the target of a pool with eight slots per server, of which six may be busy.
+ */
 class PoolSizeTests {
 
 	private static final long MILLI = 1_000_000;
@@ -44,9 +46,10 @@
 		run(10);
 	}
 
-	// Callers wait in the engines' queues and the pool stays as small as it is: every
-	// slot is busy, so that no more streams can run, and only the queue shows what is
-	// lacking.
+	// Guards against a pool that does not grow while callers wait in the engines' queues:
+	// every slot is busy, so the number of running streams cannot rise, and only the
+	// queue
+	// shows the shortage.
 	@Test
 	void shouldGrowWhenStreamsQueueThroughoutWindow() {
 		this.running = 12;
@@ -57,8 +60,8 @@
 		assertThat(target()).isEqualTo(7);
 	}
 
-	// The bill grows with every burst: streams that wait for some seconds are gone long
-	// before a VM has booted for them.
+	// Guards against buying VMs for bursts: streams that are queued for some seconds end
+	// long before a VM has booted for them.
 	@Test
 	void shouldKeepSizeWhenStreamsQueueInBursts() {
 		this.running = 12;
@@ -71,8 +74,9 @@
 		assertThat(target()).isEqualTo(VM_COUNT);
 	}
 
-	// Engines are given back in a lull and bought again minutes later, each time for a
-	// boot and a load of weights.
+	// Guards against releasing VMs during a lull and buying them again minutes later,
+	// each
+	// time at the cost of a boot and a load of weights.
 	@Test
 	void shouldShrinkSlowlyWhenDemandFalls() {
 		this.running = 120;
@@ -91,7 +95,7 @@
 		assertThat(target()).isEqualTo(VM_COUNT);
 	}
 
-	// The pool is too small right after a lull, when a new peak comes while it shrinks.
+	// Guards against a pool that is too small when a new peak arrives while it shrinks.
 	@Test
 	void shouldGrowImmediatelyWhenDemandReturnsWhileShrinking() {
 		this.running = 120;
@@ -110,7 +114,7 @@
 		return this.decisions.status().pools().getFirst().target();
 	}
 
-	// Lets seconds pass; the streams are on the first VM.
+	// Advances the time; all streams are on the first VM.
 	private void run(long seconds) {
 		for (long i = 0; i < 4 * seconds; i++) {
 			this.now += SECOND / 4;
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/SimulatedController.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/SimulatedController.java
@@ -15,8 +15,9 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * A controller process on virtual time: the lease and the decisions are the real ones,
- * and the driver between them and the fakes follows the program's.
+ * A controller process on virtual time. The lease and the decisions are the production
+ * classes, and the driver between them and the fakes follows that of the production
+ * program.
  */
 final class SimulatedController {
 
@@ -36,7 +37,7 @@
 
 	private final CapacitySettings settings;
 
-	/** How fast its clock runs, and from where. */
+	/** The rate of its clock relative to virtual time. */
 	private final double clockRate;
 
 	private final long clockOffset;
@@ -50,7 +51,8 @@
 	boolean crashed;
 
 	/**
-	 * Called before each command, by its type; the fault matrix crashes and pauses here.
+	 * Called before each command with the command's type name; the fault tests inject
+	 * crashes and pauses here.
 	 */
 	java.util.function.Consumer<String> beforeCommand = (_) -> {
 	};
@@ -105,7 +107,7 @@
 		if (this.paused) {
 			return;
 		}
-		// A process that was paused in the middle goes on with what it had decided.
+		// After a pause the process continues with the commands it had already decided.
 		if (executePending()) {
 			while (!this.pendingEvents.isEmpty()) {
 				this.pendingEvents.poll().run();
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/Simulation.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/Simulation.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Virtual time, the messages under way and what was seen to go wrong. */
+/** A simulation with virtual time, messages in transit and the violations found. */
 final class Simulation {
 
 	static final long MILLI = 1_000_000;
@@ -24,13 +24,13 @@
 
 	long now = 1_000_000 * MILLI;
 
-	/** The share of requests that are lost before they take effect. */
+	/** The fraction of requests that are lost before they take effect. */
 	double requestLossRate;
 
-	/** The share of answers that are lost after the request took effect. */
+	/** The fraction of responses that are lost after the request took effect. */
 	double responseLossRate;
 
-	/** The longest way of a message, in milliseconds. */
+	/** The maximum one-way delay of a message, in milliseconds. */
 	long maxDelayMillis = 20;
 
 	Simulation(long seed) {
@@ -41,7 +41,8 @@
 		this.events.add(new Event(this.now + nanos, this.sequence++, action));
 	}
 
-	// A request with its answer; the caller hears of a lost one at its time-out.
+	// Sends a request and delivers its response; the caller learns of a lost message at
+	// the timeout.
 	<T> void call(Supplier<T> effect, Consumer<T> onResponse, Runnable onTimeout) {
 		boolean[] completed = { false };
 		if (this.random.nextDouble() >= this.requestLossRate) {
