--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityDecisions.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityDecisions.java
@@ -103,9 +103,9 @@
 			case CapacityEvent.OffersRead read -> offersRead(read.offers(), nowNanos);
 			case CapacityEvent.VmsRead read -> vmsRead(read, nowNanos);
 			case CapacityEvent.NoticesRead read -> noticesRead(read, nowNanos);
-			case CapacityEvent.LeavingLearned learned -> {
-				this.tables.markLeaving(learned.vm());
-				find(learned.vm()).ifPresent((row) -> row.startDrain(nowNanos, "said-to-be-leaving"));
+			case CapacityEvent.LeavingLearned reported -> {
+				this.tables.markLeaving(reported.vm());
+				find(reported.vm()).ifPresent((row) -> row.startDrain(nowNanos, "said-to-be-leaving"));
 			}
 			case CapacityEvent.ReadFailed failed ->
 				PollSystem.readCompleted(this.tables, failed.source(), false, nowNanos);
@@ -210,8 +210,8 @@
 		row.unresponsiveSinceNanos = OptionalLong.empty();
 		row.actualState = Optional.of(read.state());
 		row.stateRequestedNanos = read.requestedNanos();
-		// The entries never take a leaving VM back into service, so neither does the
-		// controller with a drained engine.
+		// The entries treat a leaving VM as leaving permanently, so a drained engine must
+		// not be returned to service.
 		if (read.state().draining()) {
 			row.startDrain(nowNanos, "found-draining");
 		}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacitySettings.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacitySettings.java
@@ -11,7 +11,8 @@
  * further one
  * @param backOffLimitMillis the maximum back-off after refused starts
  * @param drainMillis the maximum time for which a drained VM is kept for its streams
- * @param serviceDrainMillis the time for which a drained VM of a plain service is kept
+ * @param serviceDrainMillis the time for which a drained VM is kept if its pool serves no
+ * models
  * @param bootMillis the time after which a VM that has not booted is released
  * @param unreachableMillis the time after which an unresponsive engine is replaced
  * @param orderValidityMillis the time for which an engine may accept an order
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityTables.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityTables.java
@@ -55,8 +55,8 @@
 	}
 
 	// Returns whether enough state was read under this lease to act. Without the intents,
-	// purchases of an earlier lease holder would be repeated; without the VMs, all
-	// purchases would be.
+	// purchases of an earlier lease holder would be repeated; without the VMs, every VM
+	// would be bought again.
 	boolean isSynchronised() {
 		return this.leaseHeld && this.configuration.revision() > 0
 				&& this.sources.values().stream().allMatch((source) -> source.readUnderLease);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/DrainSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/DrainSystem.java
@@ -51,7 +51,7 @@
 			ready.remove(selected);
 			row.countByZone.merge(selected.zone(), -1, Integer::sum);
 			row.totalCount--;
-			selected.startDrain(nowNanos, "surplus: pool wants " + row.plan.total());
+			selected.startDrain(nowNanos, "surplus: planned pool size is " + row.plan.total());
 		}
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/OrderSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/OrderSystem.java
@@ -83,10 +83,9 @@
 	}
 
 	// Returns whether there are old versions that may be dropped. An engine that drops a
-	// version may interrupt its streams, which callers see as truncated responses.
-	// Streams
-	// are awaited no longer than the drain limit, so that an endless stream cannot keep a
-	// version in memory forever.
+	// version may interrupt its streams, which callers see as truncated responses. It
+	// keeps the version until they end, but no longer than the drain limit, so that an
+	// endless stream cannot keep a version in memory forever.
 	private static boolean mayDropOldVersions(CapacityTables tables, PoolRow pool, VmRow row, long nowNanos) {
 		ServerState state = row.actualState.orElseThrow();
 		List<String> oldVersions = new ArrayList<>(state.models());
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PlacementSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PlacementSystem.java
@@ -83,7 +83,7 @@
 			double reclaimCostHours = tables.settings.reclaimCostHours();
 			if (offer.get().effectivePrice(reclaimCostHours) < highestPrice * MAX_REPLACEMENT_PRICE_RATIO) {
 				return offer.map((cheapest) -> new Choice(cheapest,
-						"cheaper: " + cheapest.effectivePrice(reclaimCostHours) + " for " + highestPrice));
+						"cheaper: " + cheapest.effectivePrice(reclaimCostHours) + " instead of " + highestPrice));
 			}
 		}
 		return Optional.empty();
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/ControllerFaultTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/ControllerFaultTests.java
@@ -44,8 +44,8 @@
 	void shouldReachDeclaredStateWhenFaultOccursAtStep(Fault fault, String step, boolean fencingChecked) {
 		Deployment deployment = new Deployment(7, fencingChecked);
 		List<String> injected = new ArrayList<>();
-		Runnable injector = () -> deployment.controllers.forEach((
-				controller) -> controller.beforeCommand = faultInjector(fault, step, deployment, controller, injected));
+		Runnable injector = () -> deployment.controllers
+			.forEach((controller) -> controller.beforeCommand = inject(fault, step, deployment, controller, injected));
 		injector.run();
 		deployment.simulation.run(20 * SECOND);
 		deployment.cloud.refusingZones.add("a");
@@ -67,7 +67,7 @@
 				.flatMap((fault) -> Stream.of(true, false).map((checked) -> Arguments.of(fault, step, checked))));
 	}
 
-	private static Consumer<String> faultInjector(Fault fault, String step, Deployment deployment,
+	private static Consumer<String> inject(Fault fault, String step, Deployment deployment,
 			SimulatedController controller, List<String> injected) {
 		return (command) -> {
 			if (!injected.isEmpty() || !command.equals(step) || (!step.equals("Write") && !controller.mayOrder())) {
@@ -95,19 +95,19 @@
 		};
 	}
 
-	// Guards against an order in transit from the previous lease holder that undoes one
-	// of
-	// the new holder. Engines that ignore the fencing number accept it while it is valid,
-	// so the new holder must wait for the validity period before its first order.
+	// Guards against an order in transit from the previous lease holder that undoes an
+	// order of the new holder. Engines that ignore the fencing number accept it while it
+	// is valid, so the new holder must wait for the validity period before its first
+	// order.
 	@Test
 	void shouldWaitUntilOrdersExpireWhenEnginesIgnoreFencing() {
 		Deployment deployment = new Deployment(9, false);
 		assertThat(deployment.converges(MAX_CONVERGENCE_MILLIS)).isTrue();
 		deployment.crash(deployment.leaseHolders().getFirst());
-		List<Long> orderNanos = new ArrayList<>();
+		List<Long> orderTimes = new ArrayList<>();
 		deployment.controllers.forEach((controller) -> controller.beforeCommand = (command) -> {
 			if (command.equals("Order")) {
-				orderNanos.add(deployment.simulation.now);
+				orderTimes.add(deployment.simulation.now);
 			}
 		});
 		while (deployment.leaseHolders().isEmpty()) {
@@ -115,8 +115,8 @@
 		}
 		long takenNanos = deployment.simulation.now;
 		deployment.simulation.run(60 * SECOND);
-		assertThat(orderNanos).isNotEmpty();
-		assertThat(orderNanos.getFirst() - takenNanos)
+		assertThat(orderTimes).isNotEmpty();
+		assertThat(orderTimes.getFirst() - takenNanos)
 			.isGreaterThanOrEqualTo((Deployment.SETTINGS.orderValidityMillis() - 20) * Simulation.MILLI);
 	}
 
@@ -210,9 +210,8 @@
 	}
 
 	// Guards against an upgrade that never ends: an abandoned stream keeps the old
-	// version
-	// in use, or the engine does not report on which version its streams run and new ones
-	// keep arriving.
+	// version in use, or the engine does not report on which version its streams run and
+	// new ones keep arriving.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void shouldDropOldVersionWhenDrainLimitPasses(boolean engineReportsVersions) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/PoolSizeTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/PoolSizeTests.java
@@ -48,8 +48,7 @@
 
 	// Guards against a pool that does not grow while callers wait in the engines' queues:
 	// every slot is busy, so the number of running streams cannot rise, and only the
-	// queue
-	// shows the shortage.
+	// queue shows the shortage.
 	@Test
 	void shouldGrowWhenStreamsQueueThroughoutWindow() {
 		this.running = 12;
@@ -75,8 +74,7 @@
 	}
 
 	// Guards against releasing VMs during a lull and buying them again minutes later,
-	// each
-	// time at the cost of a boot and a load of weights.
+	// each time at the cost of a boot and a load of weights.
 	@Test
 	void shouldShrinkSlowlyWhenDemandFalls() {
 		this.running = 120;
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/SimulatedController.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/SimulatedController.java
@@ -57,7 +57,7 @@
 	java.util.function.Consumer<String> beforeCommand = (_) -> {
 	};
 
-	private long fence;
+	private long reportedFence;
 
 	private boolean fenceReadPending;
 
@@ -139,11 +139,11 @@
 
 	private void followLease() {
 		boolean leaseHeld = mayOrder();
-		if (!leaseHeld && this.fence != 0) {
-			this.fence = 0;
+		if (!leaseHeld && this.reportedFence != 0) {
+			this.reportedFence = 0;
 			this.decisions.accept(new CapacityEvent.LeaseLost(), clock());
 		}
-		if (leaseHeld && this.fence != this.lease.fence() && !this.fenceReadPending) {
+		if (leaseHeld && this.reportedFence != this.lease.fence() && !this.fenceReadPending) {
 			this.fenceReadPending = true;
 			long fence = this.lease.fence();
 			this.simulation.call(
@@ -152,7 +152,7 @@
 						this.fenceReadPending = false;
 						if (row.isPresent() && row.get().value().equals(fence) && fence == this.lease.fence()
 								&& mayOrder()) {
-							this.fence = fence;
+							this.reportedFence = fence;
 							this.fenceVersion = row.get().version();
 							this.decisions.accept(new CapacityEvent.LeaseTaken(fence), clock());
 						}
