--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityDecisions.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityDecisions.java
@@ -17,9 +17,9 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * Decides which VMs a deployment has and what its engines load. Deterministic: no input
- * or output, the time and the seed are passed in. Used by one thread only, the control
- * thread. Times are on the monotonic clock, in nanoseconds.
+ * Decides which VMs a deployment has and what its engines load. Deterministic: it
+ * performs no input or output, and the time and the random seed are passed in. Only the
+ * control thread may use it. Times are on the monotonic clock, in nanoseconds.
  *
  * <pre>
  * decisions.accept(new CapacityEvent.LeaseTaken(fence), now);
@@ -34,26 +34,22 @@
 		this.tables = tables;
 	}
 
-	// -- factories
-
 	/**
-	 * Decisions that know nothing yet.
+	 * Creates decisions that have no state yet.
 	 * @param settings the limits
-	 * @param seed the seed of the jitter
+	 * @param seed the random seed of the jitter
 	 * @return the decisions
 	 */
 	public static CapacityDecisions of(CapacitySettings settings, long seed) {
 		return new CapacityDecisions(new CapacityTables(Objects.requireNonNull(settings, "settings is null"), seed));
 	}
 
-	// -- queries
-
 	/**
-	 * What is known now.
+	 * Returns the current status of pools, VMs and purchases.
 	 * @return the status
 	 */
 	public CapacityStatus status() {
-		this.tables.group();
+		this.tables.groupByPool();
 		return new CapacityStatus(this.tables.isSynchronised(),
 				this.tables.pools.values()
 					.stream()
@@ -66,55 +62,55 @@
 
 	private static CapacityStatus.VmStatus status(VmRow row) {
 		return new CapacityStatus.VmStatus(row.vm, row.draining, row.drainReason,
-				row.actual.map(ServerState::models).orElse(List.of()), row.actual.map(ServerState::running).orElse(0));
+				row.actualState.map(ServerState::models).orElse(List.of()),
+				row.actualState.map(ServerState::running).orElse(0));
 	}
 
-	// -- changes
-
 	/**
-	 * Lets time pass and runs all systems.
-	 * @param nowNanos the time
-	 * @return what to ask of the platform and the engines, in order; nothing without the
+	 * Runs all systems at the given time.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the commands for the platform and the engines, in order; empty without the
 	 * lease
 	 */
 	public List<CapacityCommand> tick(long nowNanos) {
 		List<CapacityCommand> commands = new ArrayList<>();
-		if (!this.tables.leading) {
+		if (!this.tables.leaseHeld) {
 			return commands;
 		}
-		ReadSystem.run(this.tables, nowNanos, commands);
-		this.tables.group();
+		PollSystem.run(this.tables, nowNanos, commands);
+		this.tables.groupByPool();
 		if (this.tables.isSynchronised()) {
-			SizeSystem.run(this.tables, nowNanos);
+			PoolSizeSystem.run(this.tables, nowNanos);
 			PlacementSystem.run(this.tables, nowNanos);
 			PurchaseSystem.run(this.tables, nowNanos, commands);
 			DrainSystem.run(this.tables, nowNanos, commands);
 			OrderSystem.run(this.tables, nowNanos, commands);
 		}
-		ReadSystem.readEngines(this.tables, nowNanos, commands);
+		PollSystem.readEngines(this.tables, nowNanos, commands);
 		return commands;
 	}
 
 	/**
-	 * Takes an event into the tables.
-	 * @param event what happened
-	 * @param nowNanos the time
+	 * Applies an event to the tables.
+	 * @param event the event
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void accept(CapacityEvent event, long nowNanos) {
 		switch (event) {
 			case CapacityEvent.LeaseTaken taken -> leaseTaken(taken.fence(), nowNanos);
-			case CapacityEvent.LeaseLost _ -> this.tables.leading = false;
-			case CapacityEvent.ConfigurationApplied applied -> configuration(applied.configuration(), nowNanos);
+			case CapacityEvent.LeaseLost _ -> this.tables.leaseHeld = false;
+			case CapacityEvent.ConfigurationApplied applied -> configurationApplied(applied.configuration(), nowNanos);
 			case CapacityEvent.OffersRead read -> offersRead(read.offers(), nowNanos);
 			case CapacityEvent.VmsRead read -> vmsRead(read, nowNanos);
 			case CapacityEvent.NoticesRead read -> noticesRead(read, nowNanos);
-			case CapacityEvent.LeavingLearned learned -> {
-				this.tables.leaving(learned.vm());
-				find(learned.vm()).ifPresent((row) -> row.drain(nowNanos, "said-to-be-leaving"));
+			case CapacityEvent.LeavingLearned reported -> {
+				this.tables.markLeaving(reported.vm());
+				find(reported.vm()).ifPresent((row) -> row.startDrain(nowNanos, "said-to-be-leaving"));
 			}
-			case CapacityEvent.ReadFailed failed -> ReadSystem.answered(this.tables, failed.what(), false, nowNanos);
+			case CapacityEvent.ReadFailed failed ->
+				PollSystem.readCompleted(this.tables, failed.source(), false, nowNanos);
 			case CapacityEvent.IntentsRead read -> intentsRead(read.intents(), nowNanos);
-			case CapacityEvent.IntentWritten written -> PurchaseSystem.written(this.tables, written.token());
+			case CapacityEvent.IntentWritten written -> PurchaseSystem.intentWritten(this.tables, written.token());
 			case CapacityEvent.IntentFailed failed -> PurchaseSystem.retry(this.tables, failed.token(), nowNanos);
 			case CapacityEvent.IntentDeleted deleted -> this.tables.intents.remove(deleted.token());
 			case CapacityEvent.Bought bought ->
@@ -123,13 +119,13 @@
 			case CapacityEvent.BuyUnknown unknown -> PurchaseSystem.retry(this.tables, unknown.token(), nowNanos);
 			case CapacityEvent.Released released -> this.tables.vms.remove(released.vm());
 			case CapacityEvent.ReleaseFailed failed -> find(failed.vm()).ifPresent((row) -> {
-				row.releasing = false;
+				row.releasePending = false;
 				row.nextReleaseNanos = nowNanos + this.tables.jittered(this.tables.settings.backOffMillis());
 			});
 			case CapacityEvent.StateRead read -> find(read.vm()).ifPresent((row) -> stateRead(row, read, nowNanos));
 			case CapacityEvent.StateUnknown unknown -> find(unknown.vm()).ifPresent((row) -> {
-				row.exchanging = false;
-				row.silentSinceNanos = OptionalLong.of(row.silentSinceNanos.orElse(nowNanos));
+				row.requestPending = false;
+				row.unresponsiveSinceNanos = OptionalLong.of(row.unresponsiveSinceNanos.orElse(nowNanos));
 				row.nextReadNanos = nowNanos + this.tables.jittered(this.tables.settings.pollMillis());
 			});
 		}
@@ -140,15 +136,15 @@
 	}
 
 	private void leaseTaken(long fence, long nowNanos) {
-		this.tables.leading = true;
+		this.tables.leaseHeld = true;
 		this.tables.fence = fence;
-		this.tables.leadingSinceNanos = nowNanos;
+		this.tables.leaseTakenNanos = nowNanos;
 		this.tables.intents.clear();
 		this.tables.vms.clear();
 		this.tables.sources.values().forEach(SourceRow::reset);
 	}
 
-	private void configuration(Configuration configuration, long nowNanos) {
+	private void configurationApplied(Configuration configuration, long nowNanos) {
 		this.tables.configuration = configuration;
 		Set<String> names = new HashSet<>();
 		configuration.all(Resource.Pool.class).forEach((pool) -> {
@@ -165,40 +161,40 @@
 			this.tables.offers.computeIfAbsent(offer.key(), (_) -> new OfferRow(offer)).offer = offer;
 		}
 		this.tables.offers.keySet().retainAll(keys);
-		ReadSystem.answered(this.tables, Source.OFFERS, true, nowNanos);
+		PollSystem.readCompleted(this.tables, Source.OFFERS, true, nowNanos);
 	}
 
 	private void vmsRead(CapacityEvent.VmsRead read, long nowNanos) {
-		Map<VmId, CloudVm> seen = new HashMap<>();
+		Map<VmId, CloudVm> listed = new HashMap<>();
 		for (CloudVm vm : read.vms()) {
 			if (vm.state() == State.GONE) {
 				continue;
 			}
-			seen.put(vm.id(), vm);
-			VmRow row = this.tables.row(vm, nowNanos);
-			// A notice is final; a list that was made before it must not bring the VM
-			// back.
-			boolean stale = row.vm.state() == State.RECLAIMING && vm.state() == State.RUNNING;
-			row.vm = stale ? row.vm : vm;
+			listed.put(vm.id(), vm);
+			VmRow row = this.tables.findOrAdd(vm, nowNanos);
+			// A reclaim notice is final: a list made before it must not set the VM back
+			// to running.
+			boolean outdated = row.vm.state() == State.RECLAIMING && vm.state() == State.RUNNING;
+			row.vm = outdated ? row.vm : vm;
 			IntentRow intent = this.tables.intents.get(vm.token());
 			if (intent != null && intent.isOpen()) {
 				PurchaseSystem.bought(this.tables, vm.token(), vm, nowNanos);
 			}
 		}
-		// A VM bought after the list was asked for is missing in it and not gone.
+		// A VM bought after the list was requested is missing from it but not terminated.
 		this.tables.vms.values()
-			.removeIf((row) -> !seen.containsKey(row.id) && row.firstSeenNanos - read.askedNanos() < 0);
-		ReadSystem.answered(this.tables, Source.VMS, true, nowNanos);
+			.removeIf((row) -> !listed.containsKey(row.id) && row.firstSeenNanos - read.requestedNanos() < 0);
+		PollSystem.readCompleted(this.tables, Source.VMS, true, nowNanos);
 	}
 
 	private void noticesRead(CapacityEvent.NoticesRead read, long nowNanos) {
-		this.tables.lastNotice = Math.max(this.tables.lastNotice, read.last());
+		this.tables.lastNoticeNumber = Math.max(this.tables.lastNoticeNumber, read.lastNumber());
 		read.remainingMillis().keySet().forEach((vm) -> find(vm).ifPresent((row) -> {
-			CloudVm known = row.vm;
-			row.vm = new CloudVm(known.id(), known.token(), known.pool(), known.sort(), State.RECLAIMING,
-					known.address());
+			CloudVm previous = row.vm;
+			row.vm = new CloudVm(previous.id(), previous.token(), previous.pool(), previous.sort(), State.RECLAIMING,
+					previous.address());
 		}));
-		ReadSystem.answered(this.tables, Source.NOTICES, true, nowNanos);
+		PollSystem.readCompleted(this.tables, Source.NOTICES, true, nowNanos);
 	}
 
 	private void intentsRead(List<Intent> intents, long nowNanos) {
@@ -206,17 +202,18 @@
 			this.tables.intents.computeIfAbsent(intent.token(),
 					(_) -> new IntentRow(intent, "found", IntentRow.Phase.FOUND));
 		}
-		ReadSystem.answered(this.tables, Source.INTENTS, true, nowNanos);
+		PollSystem.readCompleted(this.tables, Source.INTENTS, true, nowNanos);
 	}
 
 	private void stateRead(VmRow row, CapacityEvent.StateRead read, long nowNanos) {
-		row.exchanging = false;
-		row.silentSinceNanos = OptionalLong.empty();
-		row.actual = Optional.of(read.state());
-		row.actualAskedNanos = read.askedNanos();
-		// Entries keep "leaving" for good, so that a drained engine is never put back.
+		row.requestPending = false;
+		row.unresponsiveSinceNanos = OptionalLong.empty();
+		row.actualState = Optional.of(read.state());
+		row.stateRequestedNanos = read.requestedNanos();
+		// The entries treat a leaving VM as leaving permanently, so a drained engine must
+		// not be returned to service.
 		if (read.state().draining()) {
-			row.drain(nowNanos, "found-draining");
+			row.startDrain(nowNanos, "found-draining");
 		}
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PurchaseSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/PurchaseSystem.java
@@ -5,9 +5,10 @@
 import org.rosemaryfront.capacity.IntentRow.Phase;
 
 /**
- * Takes each purchase from its intent to its VM. The intent is written before the cloud
- * is asked and deleted after the VM is known, so that at every step a successor finds
- * either the intent, which it may buy again under the same token, or the VM.
+ * Carries out each purchase, from its intent to its VM. The intent is written before the
+ * cloud is asked for the VM and deleted after the VM is known, so that at every step the
+ * next lease holder finds either the intent, which it may buy again under the same token,
+ * or the VM.
  */
 final class PurchaseSystem {
 
@@ -16,13 +17,13 @@
 
 	static void run(CapacityTables tables, long nowNanos, List<CapacityCommand> commands) {
 		for (IntentRow row : tables.intents.values()) {
-			if (row.exchanging || (row.nextNanos != Long.MIN_VALUE && nowNanos - row.nextNanos < 0)) {
+			if (row.requestPending || (row.nextAttemptNanos != Long.MIN_VALUE && nowNanos - row.nextAttemptNanos < 0)) {
 				continue;
 			}
 			if (row.phase == Phase.FOUND) {
 				resume(tables, row);
 			}
-			row.exchanging = true;
+			row.requestPending = true;
 			commands.add(switch (row.phase) {
 				case PLANNED -> new CapacityCommand.WriteIntent(row.intent, row.reason);
 				case FOUND, WRITTEN -> new CapacityCommand.Buy(row.intent);
@@ -33,9 +34,9 @@
 
 	private static void resume(CapacityTables tables, IntentRow row) {
 		PoolRow pool = tables.pools.get(row.intent.pool());
-		if (pool == null || pool.total > pool.plan.total()) {
+		if (pool == null || pool.totalCount > pool.plan.total()) {
 			if (pool != null) {
-				pool.total--;
+				pool.totalCount--;
 			}
 			row.end("no-longer-wanted");
 		}
@@ -44,22 +45,23 @@
 		}
 	}
 
-	static void written(CapacityTables tables, String token) {
+	static void intentWritten(CapacityTables tables, String token) {
 		IntentRow row = tables.intents.get(token);
 		if (row != null && row.phase == Phase.PLANNED) {
 			row.phase = Phase.WRITTEN;
-			row.exchanging = false;
+			row.requestPending = false;
 			row.failures = 0;
 		}
 	}
 
-	// The same step is asked again: all of them are idempotent by the token.
+	// Schedules the same step again, which is safe because the token makes every step
+	// idempotent.
 	static void retry(CapacityTables tables, String token, long nowNanos) {
 		IntentRow row = tables.intents.get(token);
 		if (row != null) {
-			row.exchanging = false;
+			row.requestPending = false;
 			row.failures++;
-			row.nextNanos = nowNanos + backOff(tables, row.failures);
+			row.nextAttemptNanos = nowNanos + backOffNanos(tables, row.failures);
 		}
 	}
 
@@ -73,7 +75,7 @@
 			}
 		}
 		if (vm.state() != CloudVm.State.GONE) {
-			tables.row(vm, nowNanos);
+			tables.findOrAdd(vm, nowNanos);
 		}
 	}
 
@@ -85,16 +87,15 @@
 		row.end("refused");
 		OfferRow offer = tables.offers.get(row.intent.sort());
 		if (offer != null) {
-			// Purchases that were under way together are refused together; they count
-			// once.
+			// Concurrent purchases are refused together and count as one refusal.
 			if (offer.refusals == 0 || nowNanos - offer.blockedUntilNanos >= 0) {
 				offer.refusals++;
-				offer.blockedUntilNanos = nowNanos + backOff(tables, offer.refusals);
+				offer.blockedUntilNanos = nowNanos + backOffNanos(tables, offer.refusals);
 			}
 		}
 	}
 
-	private static long backOff(CapacityTables tables, int failures) {
+	private static long backOffNanos(CapacityTables tables, int failures) {
 		CapacitySettings settings = tables.settings;
 		long millis = settings.backOffMillis() << Math.min(failures - 1, 10);
 		return tables.jittered(Math.min(millis, settings.backOffLimitMillis()));
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/SourceRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/SourceRow.java
@@ -1,21 +1,21 @@
 package org.rosemaryfront.capacity;
 
-/** When a part of the platform is read again. */
+/** The state of the reads from one source of the platform. */
 final class SourceRow {
 
-	boolean exchanging;
+	boolean requestPending;
 
-	long askedNanos;
+	long requestedNanos;
 
-	long nextNanos = Long.MIN_VALUE;
+	long nextReadNanos = Long.MIN_VALUE;
 
 	/** Whether it was read since the lease was taken. */
-	boolean known;
+	boolean readUnderLease;
 
 	void reset() {
-		this.exchanging = false;
-		this.known = false;
-		this.nextNanos = Long.MIN_VALUE;
+		this.requestPending = false;
+		this.readUnderLease = false;
+		this.nextReadNanos = Long.MIN_VALUE;
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/VmRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/VmRow.java
@@ -6,7 +6,7 @@
 import org.rosemaryfront.capacity.CloudVm.State;
 import org.rosemaryfront.model.VmId;
 
-/** A VM in the tables of the capacity decisions. */
+/** The state of a VM and of its engine. */
 final class VmRow {
 
 	final VmId id;
@@ -17,35 +17,36 @@
 
 	boolean draining;
 
-	long drainSinceNanos;
+	long drainStartNanos;
 
 	String drainReason = "";
 
-	// What the engine last said, empty before its first answer under this lease.
-	Optional<ServerState> actual = Optional.empty();
+	// The engine's last report, empty before its first response under this lease.
+	Optional<ServerState> actualState = Optional.empty();
 
-	long actualAskedNanos;
+	long stateRequestedNanos;
 
-	boolean exchanging;
+	boolean requestPending;
 
 	long nextReadNanos;
 
-	/** When the engine's silence began; empty while it answers. */
-	OptionalLong silentSinceNanos = OptionalLong.empty();
+	/** When the engine became unresponsive; empty while it responds. */
+	OptionalLong unresponsiveSinceNanos = OptionalLong.empty();
 
-	/** Since when old versions wait for their streams; empty when there are none. */
+	/** Since when old versions are kept for their streams; empty if there are none. */
 	OptionalLong oldVersionsSinceNanos = OptionalLong.empty();
 
-	boolean releasing;
+	boolean releasePending;
 
-	boolean announced;
+	boolean leavingAnnounced;
 
 	long nextReleaseNanos;
 
 	/**
-	 * The last loading order, so that one order is not repeated while it is carried out.
+	 * The versions of the last order, so that a load order is not repeated while it is in
+	 * progress.
 	 */
-	String ordered = "";
+	String lastLoadOrder = "";
 
 	VmRow(CloudVm vm, long nowNanos) {
 		this.id = vm.id();
@@ -55,8 +56,8 @@
 		this.nextReleaseNanos = nowNanos;
 	}
 
-	// Whether it adds to its pool's size.
-	boolean counts() {
+	// Returns whether the VM counts towards its pool's size.
+	boolean countsTowardsSize() {
 		return !this.draining && (this.vm.state() == State.STARTING || this.vm.state() == State.RUNNING);
 	}
 
@@ -64,10 +65,10 @@
 		return this.vm.state() == State.RUNNING && !this.vm.address().isEmpty();
 	}
 
-	void drain(long nowNanos, String reason) {
+	void startDrain(long nowNanos, String reason) {
 		if (!this.draining) {
 			this.draining = true;
-			this.drainSinceNanos = nowNanos;
+			this.drainStartNanos = nowNanos;
 			this.drainReason = reason;
 			this.nextReadNanos = nowNanos;
 		}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/PoolSizeTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/PoolSizeTests.java
@@ -13,16 +13,18 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The target of a pool of eight slots a server, of which six may be busy. */
+/**
+ * Tests of the target of a pool with eight slots per server, of which six may be busy.
+ */
 class PoolSizeTests {
 
 	private static final long MILLI = 1_000_000;
 
 	private static final long SECOND = 1_000 * MILLI;
 
-	private static final OfferKey SORT = new OfferKey("a", "gpu", Market.RECLAIMABLE);
+	private static final OfferKey OFFER_KEY = new OfferKey("a", "gpu", Market.RECLAIMABLE);
 
-	private static final int VMS = 2;
+	private static final int VM_COUNT = 2;
 
 	private static final int MAXIMUM = 40;
 
@@ -37,30 +39,30 @@
 	@BeforeEach
 	void declare() {
 		Resource.Pool pool = new Resource.Pool("assistant", Resource.Serves.MODELS, List.of("m"), List.of("a"),
-				List.of("gpu"), VMS, MAXIMUM, Resource.Fencing.CHECKED, 8, 0, 0, List.of());
+				List.of("gpu"), VM_COUNT, MAXIMUM, Resource.Fencing.CHECKED, 8, 0, 0, List.of());
 		accept(new CapacityEvent.ConfigurationApplied(
 				Configuration.empty().with(1, List.of(pool, new Resource.Model("m", "1", 800)), List.of())));
 		accept(new CapacityEvent.LeaseTaken(1));
 		run(10);
 	}
 
-	// Callers wait in the engines' queues and the pool stays as small as it is: every
-	// slot is busy, so that no more streams can run, and only the queue shows what is
-	// lacking.
+	// Guards against a pool that does not grow while callers wait in the engines' queues:
+	// every slot is busy, so the number of running streams cannot rise, and only the
+	// queue shows the shortage.
 	@Test
-	void shouldGrowWhenStreamsWaitAllThroughWindow() {
+	void shouldGrowWhenStreamsQueueThroughoutWindow() {
 		this.running = 12;
 		this.queued = 30;
 		run(29);
-		assertThat(target()).isEqualTo(VMS);
+		assertThat(target()).isEqualTo(VM_COUNT);
 		run(32);
 		assertThat(target()).isEqualTo(7);
 	}
 
-	// The bill grows with every burst: streams that wait for some seconds are gone long
-	// before a VM has booted for them.
+	// Guards against buying VMs for bursts: streams that are queued for some seconds end
+	// long before a VM has booted for them.
 	@Test
-	void shouldStayWhenStreamsWaitInBursts() {
+	void shouldKeepSizeWhenStreamsQueueInBursts() {
 		this.running = 12;
 		for (int i = 0; i < 20; i++) {
 			this.queued = 30;
@@ -68,13 +70,13 @@
 			this.queued = 0;
 			run(15);
 		}
-		assertThat(target()).isEqualTo(VMS);
+		assertThat(target()).isEqualTo(VM_COUNT);
 	}
 
-	// Engines are given back in a lull and bought again minutes later, each time for a
-	// boot and a load of weights.
+	// Guards against releasing VMs during a lull and buying them again minutes later,
+	// each time at the cost of a boot and a load of weights.
 	@Test
-	void shouldShrinkSlowlyWhenNeedFalls() {
+	void shouldShrinkSlowlyWhenDemandFalls() {
 		this.running = 120;
 		run(10);
 		assertThat(target()).isEqualTo(20);
@@ -88,12 +90,12 @@
 		}
 		assertThat(targets).containsExactly(18, 17, 16, 15);
 		run(3_600);
-		assertThat(target()).isEqualTo(VMS);
+		assertThat(target()).isEqualTo(VM_COUNT);
 	}
 
-	// The pool is too small right after a lull, when a new peak comes while it shrinks.
+	// Guards against a pool that is too small when a new peak arrives while it shrinks.
 	@Test
-	void shouldGrowAtOnceWhenNeedReturnsWhileShrinking() {
+	void shouldGrowImmediatelyWhenDemandReturnsWhileShrinking() {
 		this.running = 120;
 		run(10);
 		this.running = 12;
@@ -110,38 +112,38 @@
 		return this.decisions.status().pools().getFirst().target();
 	}
 
-	// Lets seconds pass; the streams are on the first VM.
+	// Advances the time; all streams are on the first VM.
 	private void run(long seconds) {
 		for (long i = 0; i < 4 * seconds; i++) {
 			this.now += SECOND / 4;
-			this.decisions.tick(this.now).forEach(this::answer);
+			this.decisions.tick(this.now).forEach(this::respond);
 		}
 	}
 
-	private void answer(CapacityCommand command) {
+	private void respond(CapacityCommand command) {
 		switch (command) {
 			case CapacityCommand.Read read -> accept(switch (read.source()) {
 				case INTENTS -> new CapacityEvent.IntentsRead(List.of());
-				case OFFERS -> new CapacityEvent.OffersRead(List.of(new Offer(SORT, 1, 0)));
+				case OFFERS -> new CapacityEvent.OffersRead(List.of(new Offer(OFFER_KEY, 1, 0)));
 				case NOTICES -> new CapacityEvent.NoticesRead(0, Map.of());
 				case VMS -> new CapacityEvent.VmsRead(this.now, List.of(vm("vm-1"), vm("vm-2")));
 			});
-			case CapacityCommand.ReadState read -> state(read.vm());
-			case CapacityCommand.Order order -> state(order.vm());
+			case CapacityCommand.ReadState read -> reportState(read.vm());
+			case CapacityCommand.Order order -> reportState(order.vm());
 			case CapacityCommand.WriteIntent write -> accept(new CapacityEvent.IntentFailed(write.intent().token()));
 			default -> {
 			}
 		}
 	}
 
-	private void state(VmId vm) {
+	private void reportState(VmId vm) {
 		boolean first = vm.value().equals("vm-1");
 		accept(new CapacityEvent.StateRead(vm, this.now, new ServerState(1, List.of("m@1"), List.of(), List.of(), false,
 				first ? this.running : 0, first ? this.queued : 0, Map.of())));
 	}
 
 	private static CloudVm vm(String id) {
-		return new CloudVm(new VmId(id), "f0-" + id, "assistant", SORT, CloudVm.State.RUNNING, id + ":1");
+		return new CloudVm(new VmId(id), "f0-" + id, "assistant", OFFER_KEY, CloudVm.State.RUNNING, id + ":1");
 	}
 
 	private void accept(CapacityEvent event) {
