--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/AdmissionSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/AdmissionSystem.java
@@ -7,18 +7,20 @@
 import org.rosemaryfront.model.Problem;
 import org.rosemaryfront.model.ProblemCode;
 
-/** Accepts or refuses requests that arrived; a refusal comes at once. */
+/** Accepts or refuses newly arrived requests; refusals are sent immediately. */
 final class AdmissionSystem implements ServingSystem {
 
 	private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
-	/** Waits turn out longer than the mean by about this factor. */
+	/** Actual waits exceed the mean by about this factor. */
 	private static final double WAIT_MARGIN = 2;
 
-	/** The part of the slots that can be used before some server has none left. */
+	/**
+	 * The fraction of the slots that can be in use before some server has no free slot.
+	 */
 	private static final double USABLE = 0.95;
 
-	/** The use of a pool above which organisations over their share are refused. */
+	/** The pool utilisation above which organisations over their share are refused. */
 	private static final double SHARED_USE = 0.7;
 
 	@Override
@@ -37,7 +39,8 @@
 		}
 	}
 
-	// A request that a peer handed over was accepted there, so it is not judged again.
+	// A request that a peer handed over was already accepted there and is not checked
+	// again.
 	private static Optional<Problem> problem(ServingState state, Request request, long nowNanos) {
 		String pool = request.spec.pool();
 		if (state.stopping) {
@@ -57,14 +60,14 @@
 		return state.has(ServingFeature.ADMISSION) ? late(state, request, load, nowNanos) : Optional.empty();
 	}
 
-	// -- time
+	// -- deadlines
 
 	private static Optional<Problem> late(ServingState state, Request request, PoolLoad load, long nowNanos) {
 		double wait = request.chat() ? chatWait(state, load) : summaryWait(state, request);
-		// What begins at once is not refused for its own time: coming back later would
-		// not help, and the estimates that a short burst or a slow engine has spoilt
-		// could never be corrected, so that each long prompt would read "overloaded" on
-		// an idle pool.
+		// A request that can start immediately is not refused for its own estimated
+		// duration: a later retry would not help, and estimates that were distorted by a
+		// short burst or a slow engine could never be corrected, so that every long
+		// prompt would be refused as "overloaded" on an idle pool.
 		if (request.chat() ? load.hasFreeSlot() : wait == 0) {
 			return Optional.empty();
 		}
@@ -76,8 +79,8 @@
 				Duration.ofMillis((long) (wait / 1e6) + 1)) : Optional.empty();
 	}
 
-	// Summaries that wait longer than half of their time take slots from chat, so no more
-	// are accepted than start before.
+	// Summaries that wait longer than half of their time to the first token take slots
+	// from chat, so only those that are expected to start earlier are accepted.
 	private static long startBy(Request request) {
 		long latest = request.spec.firstTokenNanos();
 		return request.chat() ? latest : (request.arrivedNanos + latest) / 2;
@@ -87,7 +90,8 @@
 		return WAIT_MARGIN * load.waitNanos(USABLE, state.estimates.answerNanos());
 	}
 
-	// Summaries wait in the entry behind those that came before.
+	// Summaries wait in this process behind the summaries of the same pool that arrived
+	// earlier.
 	private static double summaryWait(ServingState state, Request request) {
 		long ahead = state.requests.waiting()
 			.stream()
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Attempt.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Attempt.java
@@ -2,12 +2,12 @@
 
 import org.rosemaryfront.model.AttemptId;
 
-/** A row of {@link AttemptTable}. */
+/** An execution of a request on a backend server; a row of {@link AttemptTable}. */
 final class Attempt {
 
 	final AttemptId id;
 
-	/** The attempt under which the stream was opened at the engine. */
+	/** The ID of the attempt under which the stream was opened at the engine. */
 	final AttemptId stream;
 
 	final Request request;
@@ -18,10 +18,12 @@
 
 	final long dispatchedNanos;
 
-	/** The tokens that existed when it was dispatched. */
+	/** The number of answer tokens that were already emitted at dispatch. */
 	final int firstOffset;
 
-	/** The prompt tokens that were believed to be cached at its server. */
+	/**
+	 * The prompt tokens in the server's prefix cache at dispatch, according to the hints.
+	 */
 	final int believedTokens;
 
 	boolean accepted;
@@ -30,7 +32,7 @@
 
 	int cachedTokens;
 
-	/** Whether its first token came. */
+	/** Whether its first token was received. */
 	boolean begun;
 
 	long lastTokenNanos;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/AttemptTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/AttemptTable.java
@@ -9,8 +9,8 @@
 import org.rosemaryfront.model.AttemptId;
 
 /**
- * The attempts that run, at most one a request. An event of an attempt that is not here
- * belongs to an earlier one and is dropped.
+ * The running attempts, at most one per request. Events of an attempt that is not in the
+ * table belong to an earlier attempt and are dropped.
  */
 final class AttemptTable {
 
@@ -48,7 +48,8 @@
 		return this.rows.size();
 	}
 
-	// The attempts not accepted yet and not looked at by rerouting, oldest first.
+	// Returns the attempts that are not accepted yet and were not examined by rerouting,
+	// oldest first.
 	Set<Attempt> unaccepted() {
 		return this.unaccepted;
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/BreakageSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/BreakageSystem.java
@@ -3,22 +3,27 @@
 import org.rosemaryfront.serving.ServingEvent.Breakage;
 import org.rosemaryfront.serving.ServingEvent.Refusal;
 
-/** Decides what follows an attempt that ended without the whole answer. */
+/**
+ * Reattaches or retries requests whose attempt ended before the whole answer was
+ * received.
+ */
 final class BreakageSystem implements ServingSystem {
 
-	/** Times that a silent stream is attached again before it is replayed. */
+	/** The maximum number of reattachments to a silent stream before it is replayed. */
 	private static final int REATTACH_LIMIT = 2;
 
-	/** The pause of a server that was full, in nanoseconds. */
+	/**
+	 * How long a server is avoided after it refused an attempt as full, in nanoseconds.
+	 */
 	private static final long FULL_PAUSE_NANOS = 50_000_000;
 
-	/** The pause of a server that has not loaded the model, in nanoseconds. */
+	/** How long a server that has not loaded the model is avoided, in nanoseconds. */
 	private static final long NOT_LOADED_PAUSE_NANOS = 1_000_000_000;
 
-	/** The first back-off of a server or a request that failed, in nanoseconds. */
+	/** The initial back-off of a server or a request after a failure, in nanoseconds. */
 	private static final long BACKOFF_NANOS = 100_000_000;
 
-	/** The doublings after which the back-off no longer grows. */
+	/** The maximum number of doublings of the back-off. */
 	private static final int BACKOFF_DOUBLINGS = 5;
 
 	@Override
@@ -51,7 +56,7 @@
 		retry(state, attempt, nowNanos);
 	}
 
-	// -- breakages
+	// -- connection failures
 
 	private void broken(ServingState state, Attempt attempt, Breakage breakage, long nowNanos) {
 		if (breakage != Breakage.SILENT) {
@@ -71,9 +76,10 @@
 		}
 	}
 
-	// A silent connection says nothing about the engine: something between the two ends
-	// lost track of it while the stream goes on, so attaching again recomputes nothing. A
-	// lost connection to a server that is leaving means that the VM went.
+	// A silent connection does not mean that the engine failed: a component between the
+	// two ends lost track of the connection while the stream goes on, so reattaching
+	// recomputes nothing. A lost connection to a leaving server means that its VM was
+	// terminated.
 	private static boolean reattachable(Attempt attempt, Breakage breakage) {
 		return switch (breakage) {
 			case CONNECT_FAILED -> false;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Candidates.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Candidates.java
@@ -3,16 +3,16 @@
 import java.util.SplittableRandom;
 
 /**
- * The few backend servers that a request may go to: all of a small pool; of a large one
- * those that follow its prompt prefix on the ring and some at random, so that a decision
- * costs the same at any size.
+ * The few backend servers that are considered for a request: all servers of a small pool;
+ * of a large pool, those that follow the request's affinity key on the hash ring and some
+ * random ones, so that the cost of a decision does not depend on the size of the pool.
  */
 final class Candidates {
 
-	/** The servers looked at. */
+	/** The maximum number of candidates. */
 	static final int COUNT = 16;
 
-	/** Of them, the ones that follow on the ring. */
+	/** The number of candidates that are taken from the hash ring. */
 	private static final int ON_RING = 12;
 
 	private final Server[] onRing = new Server[ON_RING];
@@ -49,8 +49,9 @@
 		return this.found[index];
 	}
 
-	// The server that all entry processes agree on for a key: the highest hash of key and
-	// server (rendezvous hashing).
+	// Returns the server that all entry processes prefer for a key: the one with the
+	// highest hash of key and server (rendezvous hashing), or null if there are no
+	// candidates.
 	Server home(long key) {
 		Server home = null;
 		long highest = Long.MIN_VALUE;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/DepartureSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/DepartureSystem.java
@@ -8,13 +8,14 @@
 import org.rosemaryfront.model.Resource.Pool;
 
 /**
- * Moves streams away from backend servers that are leaving: each finishes in place when
- * it fits into the notice, else it moves with its KV cache or is replayed, whichever
- * costs less by the pool's weights. The longest contexts get the export bandwidth first.
+ * Moves streams away from backend servers that are leaving. A stream stays if it is
+ * expected to finish within the notice; otherwise it moves with its KV cache or is
+ * replayed, whichever costs less by the weights of the pool. The longest contexts are
+ * exported first.
  */
 final class DepartureSystem implements ServingSystem {
 
-	/** How much longer than estimated an answer may take. */
+	/** The factor by which an answer may take longer than estimated. */
 	private static final double FINISH_MARGIN = 1.25;
 
 	private static final Comparator<Attempt> LONGEST_CONTEXT_FIRST = Comparator
@@ -53,8 +54,9 @@
 		moving.forEach((attempt) -> move(state, attempt, last, nowNanos));
 	}
 
-	// Whether the answer is expected to be whole before the server vanishes. An answer
-	// longer than expected is taken to need half of what it may still have.
+	// Whether the answer is expected to be complete before the server is terminated. An
+	// answer that is already longer than expected is assumed to need half of the tokens
+	// that it may still have.
 	private static boolean finishes(ServingState state, Attempt attempt, long nowNanos) {
 		Request request = attempt.request;
 		double expected = state.estimates.answerTokens(request) - request.emittedTokens;
@@ -66,8 +68,9 @@
 
 	// -- moves
 
-	// While another server has room a stream moves at once; when none has, it goes on
-	// where it is until the last moment and is then placed over the bound.
+	// A stream moves immediately if another server has room. Otherwise it continues in
+	// place; when the notice is about to end, its request is marked as urgent for the
+	// choice of the server.
 	private void move(ServingState state, Attempt attempt, boolean last, long nowNanos) {
 		Request request = attempt.request;
 		request.urgent = last;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/EndedAttempt.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/EndedAttempt.java
@@ -3,16 +3,16 @@
 import org.rosemaryfront.serving.ServingEvent.Breakage;
 import org.rosemaryfront.serving.ServingEvent.Refusal;
 
-/** An attempt that ended without the whole answer. */
+/** An attempt that ended before the whole answer was received. */
 sealed interface EndedAttempt {
 
 	Attempt attempt();
 
-	/** The backend server refused it before running it. */
+	/** The backend server refused the attempt before running it. */
 	record Refused(Attempt attempt, Refusal refusal) implements EndedAttempt {
 	}
 
-	/** It broke off. */
+	/** The connection to the backend server failed. */
 	record Broken(Attempt attempt, Breakage breakage) implements EndedAttempt {
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/EventIntake.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/EventIntake.java
@@ -7,7 +7,7 @@
 import org.rosemaryfront.serving.ServingEvent.Breakage;
 import org.rosemaryfront.serving.ServingEvent.Refusal;
 
-/** Takes events into the tables; the systems draw the conclusions. */
+/** Records events in the tables; the systems act on them in the next tick. */
 final class EventIntake {
 
 	private final ServingState state;
@@ -123,8 +123,8 @@
 
 	// -- backend servers
 
-	// The streams of a server that vanished end here: its connections may stay silent
-	// without ever closing.
+	// The streams of a terminated server end here, because its connections may stay
+	// silent without ever closing.
 	private void gone(ServingEvent.ServerGone gone, long nowNanos) {
 		this.state.servers.find(gone.server())
 			.ifPresent((server) -> List.copyOf(server.attempts.values())
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ExpirySystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ExpirySystem.java
@@ -8,10 +8,10 @@
 import org.rosemaryfront.model.ProblemCode;
 import org.rosemaryfront.model.Verdict;
 
-/** Gives up requests that are out of time. */
+/** Ends requests that have exceeded their deadline. */
 final class ExpirySystem implements ServingSystem {
 
-	/** The time between two looks at all requests, in nanoseconds. */
+	/** The interval between two checks of all requests, in nanoseconds. */
 	private static final long INTERVAL_NANOS = 20_000_000;
 
 	private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
@@ -31,8 +31,8 @@
 		}
 	}
 
-	// An answer that has begun is worth more than an error, so it may take twice its time
-	// before it is cut off.
+	// A partial answer is worth more than an error, so an answer that has begun may take
+	// twice its time before it is cut off.
 	private static long giveUpNanos(Request request) {
 		long answer = request.spec.answerNanos();
 		return (request.emittedTokens == 0) ? answer : answer + (answer - request.arrivedNanos);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/HashRing.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/HashRing.java
@@ -6,13 +6,16 @@
 import java.util.Map;
 
 /**
- * The servers of a pool at fixed pseudo-random places of a ring. The servers that follow
- * a key are the same in every entry process, and a server that leaves changes them only
- * for keys that it served. A look costs the same however many servers there are.
+ * The servers of a pool on a consistent-hash ring. All entry processes find the same
+ * servers after a key, and the removal of a server changes the result only for the keys
+ * that it served. The cost of a lookup hardly depends on the number of servers.
  */
 final class HashRing {
 
-	/** Places of each server; more make the shares more even and the ring larger. */
+	/**
+	 * The virtual nodes per server; more of them distribute keys more evenly but enlarge
+	 * the ring.
+	 */
 	private static final int PLACES = 32;
 
 	private final long[] places;
@@ -43,7 +46,8 @@
 		return new HashRing(sorted, owners);
 	}
 
-	// Puts the first different servers after the key into the array; returns how many.
+	// Fills the array with the first distinct servers after the key and returns their
+	// number.
 	int after(long key, Server[] found) {
 		int start = Arrays.binarySearch(this.places, key);
 		int place = (start < 0) ? -start - 1 : start;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PoolLoad.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PoolLoad.java
@@ -3,14 +3,17 @@
 import java.util.List;
 
 /**
- * The load of a pool at one moment, as far as this process knows it.
+ * The current load of a pool, as far as this process knows it.
  *
- * @param slots the streams that its backend servers can run at a time
- * @param streams the streams that they have
+ * @param slots the number of streams that the backend servers can run at the same time
+ * @param streams the number of streams on the backend servers
  */
 record PoolLoad(double slots, double streams) {
 
-	/** Servers looked at; the load of a larger pool is taken from a part of it. */
+	/**
+	 * The approximate number of servers to sample; the load of a larger pool is
+	 * extrapolated.
+	 */
 	private static final int SAMPLE = 64;
 
 	static PoolLoad of(ServingState state, String pool) {
@@ -26,18 +29,18 @@
 		return new PoolLoad((double) live.size() * state.slots(pool), streams * scale);
 	}
 
-	// Whether one more stream finds a slot at once.
+	// Whether one more stream would get a slot immediately.
 	boolean hasFreeSlot() {
 		return this.streams + 1 <= this.slots;
 	}
 
-	// The part of the slots in use; a pool without slots is full.
+	// Returns the fraction of the slots in use; a pool without slots counts as full.
 	double used() {
 		return (this.slots > 0) ? this.streams / this.slots : 1;
 	}
 
-	// The time until one more stream finds a slot when a part of the slots can be used,
-	// in nanoseconds.
+	// Returns the expected time until one more stream gets a slot if only the given
+	// fraction of the slots can be used, in nanoseconds.
 	double waitNanos(double usable, double answerNanos) {
 		return Math.max(0, this.streams + 1 - usable * this.slots) * answerNanos / Math.max(1, this.slots);
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PrefixBlocks.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PrefixBlocks.java
@@ -8,13 +8,13 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * A prompt cut into blocks, each named by a hash that is chained over the blocks before
- * it: two prompts share their first n blocks exactly when they share the n-th hash. A
- * token is a word together with the white space before it.
+ * A prompt split into blocks, each identified by a hash that is chained over the
+ * preceding blocks: two prompts share their first n blocks exactly if they share the n-th
+ * hash. A token is a word with the white space before it.
  *
  * <pre>
  * PrefixBlocks blocks = PrefixBlocks.of("plaster", "", prompt);
- * blocks.hashes(); // one a full block
+ * blocks.hashes(); // one per full block
  * </pre>
  *
  * @param tokens the length of the prompt, in tokens
@@ -34,11 +34,11 @@
 	// -- factories
 
 	/**
-	 * Cuts a prompt into blocks.
+	 * Splits a prompt into blocks.
 	 * @param model the name of the model
 	 * @param adapter the name of the adapter, empty for none
 	 * @param prompt the prompt
-	 * @return its blocks
+	 * @return the blocks of the prompt
 	 */
 	public static PrefixBlocks of(String model, String adapter, String prompt) {
 		Objects.requireNonNull(model, "model is null");
@@ -69,8 +69,8 @@
 		return HASHER.hashStream().putLong(before).putString(prompt.substring(start, end)).getAsLong();
 	}
 
-	// The end of the token that begins at or after a place, negative when only white
-	// space follows.
+	// Returns the end index of the token that begins at or after the given index, or a
+	// negative value if only white space follows.
 	private static int tokenEnd(String prompt, int start) {
 		int position = start;
 		while (position < prompt.length() && Character.isWhitespace(prompt.charAt(position))) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PrefixHints.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PrefixHints.java
@@ -3,19 +3,23 @@
 import java.util.List;
 
 /**
- * Which prompt blocks a backend server is believed to have in its prefix cache. A hint
- * only: cache events come late and with gaps, and the table forgets a block when another
- * takes its place. How far the hints came true scales them.
+ * The prompt blocks that a backend server probably has in its prefix cache. These are
+ * only hints: cache events arrive late and with gaps, and a block is lost when another
+ * block is stored at the same index. The measured accuracy of earlier hints scales the
+ * expected number of cached blocks.
  */
 final class PrefixHints {
 
-	/** The blocks remembered, about what a backend server caches; a power of two. */
+	/**
+	 * The number of blocks stored, about as many as a backend server caches; a power of
+	 * two.
+	 */
 	private static final int SIZE = 2_048;
 
-	/** The weight of the newest outcome. */
+	/** The smoothing factor of the accuracy. */
 	private static final double NEWEST = 0.1;
 
-	/** Hints are never trusted less, so that they can prove true again. */
+	/** The minimum accuracy; hints stay in use so that the accuracy can recover. */
 	private static final double LEAST_TRUST = 0.2;
 
 	private long[] blocks = {};
@@ -37,7 +41,7 @@
 		}
 	}
 
-	// Events before these may be missing, so nothing that is not named is changed.
+	// Earlier cache events may be missing, so blocks that are not listed stay unchanged.
 	void reported(List<Long> added, List<Long> removed) {
 		added.forEach(this::add);
 		for (Long block : removed) {
@@ -56,8 +60,9 @@
 
 	// -- queries
 
-	// The number of leading blocks believed to be cached; a block is only kept with those
-	// before it, so the deepest one tells.
+	// Returns the expected number of leading blocks in the cache. The cache keeps a block
+	// only together with the preceding blocks, so the deepest block found determines the
+	// number.
 	double cachedBlocks(long[] prompt) {
 		return this.trust * believedBlocks(prompt);
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RateMeter.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RateMeter.java
@@ -1,9 +1,11 @@
 package org.rosemaryfront.serving;
 
-/** The rate of events, exponentially weighted over the last seconds. */
+/** Measures an exponentially weighted rate of events. */
 final class RateMeter {
 
-	/** The time after which an event counts for about a third, in nanoseconds. */
+	/**
+	 * The time constant, after which an event counts for about a third, in nanoseconds.
+	 */
 	private final double windowNanos;
 
 	private double weight;
@@ -19,7 +21,7 @@
 		this.lastNanos = nowNanos;
 	}
 
-	// Events a nanosecond.
+	// Returns the number of events per nanosecond.
 	double perNano(long nowNanos) {
 		return decayed(nowNanos) / this.windowNanos;
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Request.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Request.java
@@ -7,10 +7,14 @@
 import org.rosemaryfront.model.Verdict;
 import org.rosemaryfront.model.VmId;
 
-/** A row of {@link RequestTable}. */
+/** A caller's request; a row of {@link RequestTable}. */
 final class Request {
 
-	/** What one slot counts for; a long answer takes no more slots than a short one. */
+	/**
+	 * The tokens that one slot counts for in the share of an organisation. A request is
+	 * charged for at most one slot, because a long answer takes no more slots than a
+	 * short one.
+	 */
 	static final long SLOT_TOKENS = 256;
 
 	final RequestId id;
@@ -19,42 +23,45 @@
 
 	final long arrivedNanos;
 
-	/** The prompt's blocks. */
+	/** The chained hashes of the full blocks of the prompt. */
 	final long[] blocks;
 
-	/** Names organisation, model or adapter and the first prompt blocks. */
+	/**
+	 * The affinity key: a hash of the organisation, the model or adapter and the first
+	 * prompt blocks.
+	 */
 	final long key;
 
-	/** Whether a peer accepted it first. */
+	/** Whether a peer accepted the request and handed it over. */
 	final boolean adopted;
 
 	Phase phase = Phase.ARRIVED;
 
 	int emittedTokens;
 
-	/** The attempt that runs, null when none does. */
+	/** The running attempt, or null. */
 	Attempt attempt;
 
 	Verdict verdict = Verdict.notRun();
 
 	int dispatches;
 
-	/** Times it was sent elsewhere because it waited in a queue. */
+	/** The number of times it was sent to another server because it waited in a queue. */
 	int reroutes;
 
-	/** Breakages since the last token. */
+	/** Refusals and connection failures since the last token. */
 	int breakages;
 
-	/** No dispatch before this time, in nanoseconds. */
+	/** The earliest time of the next dispatch, on the monotonic clock, in nanoseconds. */
 	long notBeforeNanos;
 
-	/** The server to avoid, because the last attempt failed there; null for none. */
+	/** The server to avoid because the last attempt failed there, or null. */
 	VmId avoid;
 
-	/** The attempt whose server still has the KV cache, null when none has. */
+	/** The attempt whose server still has the KV cache, or null. */
 	Attempt cacheSource;
 
-	/** Whether it must be placed now, even over the depth bound. */
+	/** Whether the request must be dispatched now, before all others. */
 	boolean urgent;
 
 	Request(RequestId id, RequestSpec spec, long arrivedNanos, int affinityBlocks, boolean adopted, int emittedTokens) {
@@ -78,7 +85,8 @@
 			.getAsLong();
 	}
 
-	// Whether work on it was begun, here or at a peer, so that it must be finished.
+	// Whether work on the request was started, here or at a peer, so that it must be
+	// finished.
 	boolean begun() {
 		return this.adopted || this.dispatches > 0;
 	}
@@ -87,26 +95,27 @@
 		return this.spec.priority() == Priority.CHAT;
 	}
 
-	// The tokens that a backend server must have computed before the next one.
+	// Returns the number of tokens that a backend server must have computed before the
+	// next token.
 	int contextTokens() {
 		return this.spec.promptTokens() + this.emittedTokens;
 	}
 
-	// The tokens that the request holds against its organisation's share.
+	// Returns the number of tokens charged to the share of the organisation.
 	long weightTokens() {
 		return Math.min(SLOT_TOKENS, this.spec.maxTokens());
 	}
 
-	/** Where a request stands. */
+	/** The processing phase of a request. */
 	enum Phase {
 
-		// Not yet admitted.
+		// Not admitted yet.
 		ARRIVED,
 
-		// Admitted, waits for a backend server.
+		// Admitted and waiting for a backend server.
 		WAITING,
 
-		/** An attempt runs. */
+		/** An attempt is running. */
 		RUNNING
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RequestSpec.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RequestSpec.java
@@ -6,18 +6,20 @@
 import org.rosemaryfront.model.Resource.Priority;
 
 /**
- * What the decisions need to know of a caller's request to a model.
+ * The properties of a caller's request to a model that the serving decisions use.
  *
  * @param organisation the name of the organisation
  * @param pool the name of the pool
  * @param model the name of the model or adapter
- * @param priority which requests go first
+ * @param priority the priority class, which determines which requests go first
  * @param promptTokens the estimated length of the prompt, in tokens
- * @param maxTokens the greatest length of the answer, in tokens
+ * @param maxTokens the maximum length of the answer, in tokens
  * @param prefixBlocks the chained hashes of the prompt's full blocks, first block first
- * @param firstTokenNanos the latest time of the first token, on the monotonic clock
- * @param betweenTokensNanos the greatest time between tokens, in nanoseconds
- * @param answerNanos the latest time of the last token, on the monotonic clock
+ * @param firstTokenNanos the deadline of the first token, on the monotonic clock, in
+ * nanoseconds
+ * @param betweenTokensNanos the maximum time between two tokens, in nanoseconds
+ * @param answerNanos the deadline of the last token, on the monotonic clock, in
+ * nanoseconds
  */
 public record RequestSpec(String organisation, String pool, String model, Priority priority, int promptTokens,
 		int maxTokens, List<Long> prefixBlocks, long firstTokenNanos, long betweenTokensNanos, long answerNanos) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ReroutingSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ReroutingSystem.java
@@ -6,22 +6,28 @@
 import java.util.Optional;
 
 /**
- * Sends chats that wait in the queue of a backend server to another one. A server that
- * has a free slot accepts within a step or two; when it has not by then, it is full,
- * whatever the last load report says, and nothing was computed there yet.
+ * Sends chats that wait in the queue of a backend server to another server. A server with
+ * a free slot accepts a request within one or two engine steps; a server that has not
+ * accepted it by then is full, regardless of its last load report, and has computed
+ * nothing for it yet.
  */
 final class ReroutingSystem implements ServingSystem {
 
-	/** What two processes and the network may add to a step, in nanoseconds. */
+	/**
+	 * The latency that two processes and the network may add to an engine step, in
+	 * nanoseconds.
+	 */
 	private static final double LATENCY_NANOS = 20e6;
 
-	/** Steps of the engine after which an attempt is taken to wait. */
+	/**
+	 * The number of engine steps after which an attempt is assumed to wait in a queue.
+	 */
 	private static final double STEPS = 2.5;
 
-	/** How long a server is taken to be full, in nanoseconds. */
+	/** How long a server is treated as full, in nanoseconds. */
 	private static final long FULL_NANOS = 300_000_000;
 
-	/** Times that a request is sent elsewhere. */
+	/** The maximum number of times that a request is sent to another server. */
 	private static final int LIMIT = 4;
 
 	private final Router router;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RetryBudget.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RetryBudget.java
@@ -1,13 +1,13 @@
 package org.rosemaryfront.serving;
 
 /**
- * Limits retries to a share of the fresh work (a token bucket), so that the failure of
- * many backend servers at once does not make as much work again as there is. A slow
- * refill by time keeps accepted requests from waiting for fresh ones.
+ * Limits retries to a fraction of the first dispatches (token bucket), so that the
+ * simultaneous failure of many backend servers does not double the load. A slow refill by
+ * time ensures that accepted requests don't have to wait for new requests.
  */
 final class RetryBudget {
 
-	/** Retries allowed a second without any fresh work. */
+	/** The number of retries allowed per second without any new requests. */
 	private static final double PER_SECOND = 4;
 
 	private final double share;
@@ -28,7 +28,7 @@
 		this.tokens = Math.min(this.burst, this.tokens + this.share);
 	}
 
-	// Takes one retry; returns how long it has to wait, in nanoseconds.
+	// Takes one retry from the budget and returns how long it must wait, in nanoseconds.
 	long take(long nowNanos) {
 		if (this.refilledNanos != Long.MIN_VALUE) {
 			this.tokens = Math.min(this.burst, this.tokens + PER_SECOND * (nowNanos - this.refilledNanos) / 1e9);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Router.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Router.java
@@ -3,17 +3,17 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** Chooses the backend server of a request. */
+/** Chooses the backend server for a request. */
 final class Router {
 
-	/** The slots of a server that summaries leave to chat. */
+	/** The slots per server that summaries leave free for chat. */
 	private static final double CHAT_SLOTS = 2;
 
 	private final Candidates candidates = new Candidates();
 
 	private final double[] paces = new double[Candidates.COUNT];
 
-	// The best server, empty when none has room.
+	// Returns the server with the lowest cost, or empty if none has room.
 	Optional<Choice> choose(ServingState state, Request request, long nowNanos) {
 		this.candidates.find(state.servers.pool(request.spec.pool()), request.key, state.random);
 		Server home = this.candidates.home(request.key);
@@ -34,7 +34,8 @@
 			.map((server) -> new Choice(server, (server == home) ? "home" : "cheapest", cost.cachedTokens(server)));
 	}
 
-	// The middle of the candidates' times between tokens, 0 when none is known.
+	// Returns the median time between tokens over the candidates, or 0 if none was
+	// measured.
 	private double medianTokenNanos() {
 		int known = 0;
 		for (int i = 0; i < this.candidates.count(); i++) {
@@ -65,8 +66,9 @@
 		return sum / Math.max(1, this.candidates.count());
 	}
 
-	// A summary leaves slots free for chat, which would have to wait for the end of a
-	// long answer otherwise, until half of its time to the first token is over.
+	// Returns the number of streams below which a server has room for the request. A
+	// summary leaves slots free for chat, which would otherwise have to wait for the end
+	// of a long answer, until half of the summary's time to the first token has passed.
 	private static double depth(ServingState state, Request request, long nowNanos) {
 		if (!state.has(ServingFeature.PRIORITIES) || request.chat() || request.begun()) {
 			return Double.MAX_VALUE;
@@ -78,7 +80,10 @@
 		return state.slots(request.spec.pool()) - (early ? CHAT_SLOTS : 0);
 	}
 
-	/** A backend server, why, and the prompt tokens it is expected to have cached. */
+	/**
+	 * The chosen backend server, the reason and the prompt tokens that it is expected to
+	 * have cached.
+	 */
 	record Choice(Server server, String why, double cachedTokens) {
 
 		String reason() {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RoutingCost.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RoutingCost.java
@@ -3,27 +3,36 @@
 import org.rosemaryfront.model.Resource.Pool;
 
 /**
- * What it costs to run a request on a backend server, in the pool's weights: seconds
- * until the first token and prompt tokens to compute.
+ * Computes the cost of running a request on a backend server, by the weights of the pool:
+ * seconds until the first token and prompt tokens to prefill.
  */
 final class RoutingCost {
 
-	/** What a server that failed lately costs, more than any load. */
+	/** The cost of a recent failure of the server, higher than the cost of any load. */
 	private static final double FAILED = 1e6;
 
-	/** The part of a reported difference to the mean that is taken to last. */
+	/**
+	 * The fraction of a reported deviation from the mean load that is expected to
+	 * persist.
+	 */
 	private static final double GAIN = 0.33;
 
-	/** What a server in a zone that is leaving costs, less than a failed one. */
+	/** The cost of a server in a leaving zone, lower than that of a failure. */
 	private static final double ZONE_LEAVES = 1e5;
 
-	/** How much worse a second is past the target of the first token. */
+	/** The additional weight of a second past the deadline of the first token. */
 	private static final double LATE = 10;
 
-	/** Times the median that are still taken as usual. */
+	/**
+	 * The multiple of the median time between tokens up to which a server is not treated
+	 * as slow.
+	 */
 	private static final double SLOW = 1.5;
 
-	/** The part of its key's blocks that the home server is expected to have. */
+	/**
+	 * The fraction of the affinity key's blocks that the home server is expected to have
+	 * cached.
+	 */
 	private static final double HOME_SHARE = 0.5;
 
 	private final ServingState state;
@@ -38,7 +47,10 @@
 
 	private final double secondWeight;
 
-	/** The wait that one more of this process's streams on a server stands for. */
+	/**
+	 * The wait that each additional stream of this process on a server causes, in
+	 * seconds.
+	 */
 	private final double streamSeconds;
 
 	private final double medianTokenNanos;
@@ -78,13 +90,14 @@
 				+ this.streamSeconds * balance(server) * slowness(server));
 	}
 
-	// A stream that has moved once should not have to move again, so it goes to no zone
-	// that is leaving; fresh requests are short and use what is left there.
+	// A request that was already dispatched should not have to move again, so it avoids
+	// leaving zones. New requests are short and use the capacity that remains there.
 	private boolean zoneLeaves(Server server) {
 		return this.state.has(ServingFeature.ZONES) && this.request.begun() && this.state.servers.zoneLeaves(server);
 	}
 
-	// How many times longer than the median of the pool its tokens take.
+	// Returns the time between tokens of the server as a multiple of the candidates'
+	// median, or 1 if the server is not treated as slow.
 	private double slowness(Server server) {
 		if (!this.state.has(ServingFeature.SLOW_SERVERS) || this.medianTokenNanos <= 0) {
 			return 1;
@@ -93,14 +106,15 @@
 		return (factor > SLOW) ? factor : 1;
 	}
 
-	// The time that a slow server adds to the whole answer.
+	// Returns the time that a slow server adds to the whole answer, in seconds.
 	private double slowSeconds(Server server) {
 		return (slowness(server) - 1) * this.state.estimates.answerTokens(this.request) * this.medianTokenNanos / 1e9;
 	}
 
-	// Every process sees the same late reports. If each made up for the whole difference
-	// between two servers, all of them together would overshoot by the number of
-	// processes and fill one server after another, so each makes up for its part.
+	// All processes receive the same delayed reports. If each process compensated for the
+	// whole difference between two servers, all of them together would overshoot by a
+	// factor of the number of processes and fill one server after another, so each
+	// compensates only for its part.
 	private double balance(Server server) {
 		double own = server.attempts.size();
 		return this.state.has(ServingFeature.LOAD_REPORTS)
@@ -116,8 +130,8 @@
 		return blocks * PrefixBlocks.BLOCK_TOKENS;
 	}
 
-	// A smooth maximum of 0 and the streams over the slots, since the number of streams
-	// is known only about.
+	// Uses a smooth maximum of 0 and the number of streams above the slots, because the
+	// number of streams is known only approximately.
 	private double waitSeconds(Server server) {
 		double others = this.meanOthers + GAIN * (server.load.others() - this.meanOthers);
 		double over = server.attempts.size() + others + 1 - this.slots;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RoutingSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RoutingSystem.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Sends waiting requests to backend servers that have room for them. */
+/** Dispatches waiting requests to backend servers that have room for them. */
 final class RoutingSystem implements ServingSystem {
 
 	private static final Comparator<Request> ORDER = Comparator.comparing((Request request) -> !request.urgent)
@@ -40,8 +40,8 @@
 		state.dispatch(request, choice.server(), mode, choice.reason(), nowNanos);
 	}
 
-	// The cache of an earlier attempt counts as long as its server has not gone: a
-	// destination that broke during the move leaves the source as it was.
+	// The KV cache of an earlier attempt can be used until its server is terminated: a
+	// destination that fails during the transfer leaves the source unchanged.
 	private static ServingCommand.Mode mode(Request request, long nowNanos) {
 		Attempt source = request.cacheSource;
 		if (source != null && source.server.phase != Server.Phase.GONE && nowNanos < source.server.goneAtNanos) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Server.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Server.java
@@ -8,13 +8,16 @@
 import org.rosemaryfront.model.AttemptId;
 import org.rosemaryfront.model.VmId;
 
-/** A row of {@link ServerTable}. */
+/** A backend server; a row of {@link ServerTable}. */
 final class Server {
 
-	/** The weight of the newest pace. */
+	/** The smoothing factor of the time between tokens. */
 	private static final double PACE_NEWEST = 0.02;
 
-	/** How long a measured pace is believed without news, in nanoseconds. */
+	/**
+	 * The time constant of the decay of a measured time between tokens without new
+	 * measurements, in nanoseconds.
+	 */
 	private static final double PACE_MEMORY_NANOS = 30e9;
 
 	final VmId id;
@@ -27,35 +30,42 @@
 
 	Phase phase = Phase.LIVE;
 
-	/** When it is expected to vanish, {@link Long#MAX_VALUE} when unknown. */
+	/** The expected termination time of its VM, {@link Long#MAX_VALUE} if unknown. */
 	long goneAtNanos = Long.MAX_VALUE;
 
-	/** Streams of this process that run there, oldest first. */
+	/** The attempts of this process that run there, oldest first. */
 	final Map<AttemptId, Attempt> attempts = new LinkedHashMap<>();
 
-	/** The pseudo-random number that places it on the ring, the same everywhere. */
+	/**
+	 * The hash that determines its positions on the hash ring, the same in all processes.
+	 */
 	final long hash;
 
 	final PrefixHints hints = new PrefixHints();
 
 	final ServerLoad load = new ServerLoad();
 
-	/** No new work before this time, after a failure there. */
+	/** The time until which it gets no new work because of a failure there. */
 	long avoidUntilNanos = Long.MIN_VALUE;
 
-	/** It is known to be full until then, in nanoseconds. */
+	/** The time until which it is treated as full. */
 	long fullUntilNanos = Long.MIN_VALUE;
 
-	/** The time between tokens of its streams, in nanoseconds, 0 before the first. */
+	/**
+	 * The smoothed time between tokens of its streams, in nanoseconds, 0 before the first
+	 * measurement.
+	 */
 	double tokenNanos;
 
-	/** When that was last measured. */
+	/** The time at which the time between tokens was last measured. */
 	long measuredNanos;
 
-	/** Failures since the last success. */
+	/** The connection failures since the last accepted attempt. */
 	int failures;
 
-	/** When its KV export is free for another stream of this process. */
+	/**
+	 * The time from which its KV cache export is free for another stream of this process.
+	 */
 	long exportFreeNanos = Long.MIN_VALUE;
 
 	Server(VmId id, String pool, String zone, String address) {
@@ -66,7 +76,8 @@
 		this.hash = Hashing.wyhashFinal4().hashCharsToLong(id.value());
 	}
 
-	// The streams that run there by now, those of other processes as last reported.
+	// Returns the number of streams that run there, those of other processes as last
+	// reported.
 	double streams() {
 		return this.attempts.size() + this.load.others();
 	}
@@ -77,8 +88,8 @@
 		this.measuredNanos = nowNanos;
 	}
 
-	// The time between tokens; without news it fades back to the usual, so that a server
-	// that was eased off is tried again.
+	// Returns the time between tokens. Without new measurements it decays to the typical
+	// value, so that a server that received less work is tried again.
 	double tokenNanos(long nowNanos, double usualNanos) {
 		double known = (this.tokenNanos > 0) ? Math.exp((this.measuredNanos - nowNanos) / PACE_MEMORY_NANOS) : 0;
 		return usualNanos + known * (this.tokenNanos - usualNanos);
@@ -88,16 +99,16 @@
 		return this.phase == Phase.LIVE;
 	}
 
-	/** Where a backend server stands; it only moves forward. */
+	/** The lifecycle phase of a backend server; it only moves forward. */
 	enum Phase {
 
-		// It takes new work.
+		// It accepts new work.
 		LIVE,
 
-		// It takes no new work and finishes what it has.
+		// It accepts no new work and finishes its streams.
 		LEAVING,
 
-		/** It vanished. */
+		/** Its VM was terminated. */
 		GONE
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServerLoad.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServerLoad.java
@@ -5,13 +5,13 @@
 import java.util.Deque;
 
 /**
- * How many streams a backend server has by now. A load report describes an earlier moment
- * and counts the streams of all entry processes; those of this process are replaced by
- * what it knows for certain.
+ * The number of streams of other processes on a backend server. A load report describes
+ * an earlier moment and counts the streams of all entry processes; the streams that this
+ * process had at that moment are subtracted.
  */
 final class ServerLoad {
 
-	/** How long an ended attempt is remembered, longer than a report is late. */
+	/** How long an ended attempt is kept, longer than the delay of a load report. */
 	private static final long MEMORY_NANOS = 3_000_000_000L;
 
 	private final Deque<Ended> ended = new ArrayDeque<>();
@@ -38,12 +38,12 @@
 
 	// -- queries
 
-	// The age of what the last report describes, 0 without one.
+	// Returns the age of the state that the last report describes, or 0 without a report.
 	long ageNanos(long nowNanos) {
 		return (this.describedNanos != Long.MIN_VALUE) ? nowNanos - this.describedNanos : 0;
 	}
 
-	// The streams of other processes when the last report was made.
+	// Returns the number of streams of other processes at the time of the last report.
 	double others() {
 		return this.others;
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServerPool.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServerPool.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The backend servers of a pool that take new work. */
+/** The backend servers of a pool that accept new work. */
 final class ServerPool {
 
 	static final ServerPool EMPTY = new ServerPool();
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServerTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServerTable.java
@@ -9,13 +9,13 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * The backend servers this process knows. A VM that is leaving or gone stays known as
- * such: the platform's list lags, and an old "alive" that arrives after "leaving" would
- * otherwise bring it back and give it new work.
+ * The backend servers known to this process. VMs that are leaving or terminated stay
+ * recorded as departed: the platform's VM list lags, and an outdated entry that arrives
+ * after the notice would otherwise bring the server back and give it new work.
  */
 final class ServerTable {
 
-	/** Departed VMs remembered; the oldest are forgotten first. */
+	/** The maximum number of departed VMs that are kept; the oldest are removed first. */
 	private static final int DEPARTED_LIMIT = 16_384;
 
 	private final Map<VmId, Server> rows = new LinkedHashMap<>();
@@ -24,7 +24,7 @@
 
 	private final Map<VmId, Server> leaving = new LinkedHashMap<>();
 
-	/** Servers that are leaving, by zone. */
+	/** The number of leaving servers by zone. */
 	private final Map<String, Integer> leavingByZone = new HashMap<>();
 
 	private final Map<String, ServerPool> pools = new LinkedHashMap<>();
@@ -88,19 +88,19 @@
 		return Optional.ofNullable(this.rows.get(id));
 	}
 
-	// Whether most servers of the server's zone are leaving: the rest is likely to
-	// follow.
+	// Whether most servers in the zone of the server are leaving; the remaining ones are
+	// likely to follow.
 	boolean zoneLeaves(Server server) {
 		int leavingThere = this.leavingByZone.getOrDefault(server.zone, 0);
 		return leavingThere > 0 && leavingThere > pool(server.pool).inZone(server.zone);
 	}
 
-	// The servers that finish what they have.
+	// Returns the servers that accept no new work and finish their streams.
 	Collection<Server> leaving() {
 		return this.leaving.values();
 	}
 
-	// The servers of a pool that take new work.
+	// Returns the servers of a pool that accept new work.
 	ServerPool pool(String pool) {
 		return this.pools.getOrDefault(pool, ServerPool.EMPTY);
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingCommand.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingCommand.java
@@ -5,66 +5,62 @@
 import org.rosemaryfront.model.RequestId;
 import org.rosemaryfront.model.VmId;
 
-/**
- * Something that the traffic threads must do, with the reason for the decision log.
- */
+/** A command for the traffic threads, with the reason for the decision log. */
 public sealed interface ServingCommand {
 
 	/**
-	 * The request that it concerns.
+	 * Returns the request that the command concerns.
 	 * @return the request
 	 */
 	RequestId request();
 
 	/**
-	 * Run the request on a backend server.
+	 * Runs the request on a backend server.
 	 *
 	 * @param request the request
 	 * @param attempt the new attempt; answers of earlier attempts are dropped from now on
-	 * @param server the VM
+	 * @param server the VM of the backend server
 	 * @param address its address, {@code host:port}
-	 * @param mode how the answer is continued
-	 * @param reason why this backend server, for the decision log
+	 * @param mode how the answer is started or continued
+	 * @param reason why this backend server was chosen, for the decision log
 	 */
 	record Dispatch(RequestId request, AttemptId attempt, VmId server, String address, Mode mode,
 			String reason) implements ServingCommand {
 	}
 
 	/**
-	 * Cancel an attempt at its backend server.
+	 * Cancels an attempt at its backend server.
 	 *
 	 * @param request the request
 	 * @param attempt the attempt
-	 * @param reason why
+	 * @param reason the reason for the decision log
 	 */
 	record Cancel(RequestId request, AttemptId attempt, String reason) implements ServingCommand {
 	}
 
 	/**
-	 * Give the caller the final answer that the request failed, at once.
+	 * Immediately sends the caller the final response that the request failed.
 	 *
 	 * @param request the request
-	 * @param problem what the caller reads
+	 * @param problem the error for the caller
 	 */
 	record Refuse(RequestId request, Problem problem) implements ServingCommand {
 	}
 
-	/**
-	 * How an answer is begun or continued.
-	 */
+	/** How an answer is started or continued. */
 	sealed interface Mode {
 
-		/** Begin the answer. */
+		/** Starts the answer. */
 		record Fresh() implements Mode {
 		}
 
-		/** Send the prompt and the emitted tokens; the engine computes them again. */
+		/** Sends the prompt and the emitted tokens; the engine computes them again. */
 		record Replay() implements Mode {
 		}
 
 		/**
-		 * Move the KV cache from another backend server, then go on; replay when the move
-		 * fails.
+		 * Transfers the KV cache from another backend server and continues the answer;
+		 * the request is replayed if the transfer fails.
 		 *
 		 * @param source the VM that has the cache
 		 * @param sourceAddress its address, {@code host:port}
@@ -74,8 +70,7 @@
 		}
 
 		/**
-		 * Attach again to the engine's stream over a new connection at the offset
-		 * reached.
+		 * Reattaches to the engine's stream over a new connection at the current offset.
 		 *
 		 * @param earlier the attempt under which the stream was opened
 		 */
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingDecisions.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingDecisions.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * Decides for one entry process which requests run where, when they move and which are
- * refused. Deterministic: no input or output, the time and the seed are passed in. Used
- * by one thread only, the control thread.
+ * Decides for one entry process which requests run on which backend server, when they
+ * move and which are refused. Deterministic: performs no input or output, and receives
+ * the time and the seed from the caller. Used by a single thread, the control thread.
  *
  * <pre>
  * decisions.accept(new ServingEvent.RequestArrived(request, spec));
@@ -20,8 +20,8 @@
 	// -- factories
 
 	/**
-	 * The decisions with the parts of the policy that the parameters name.
-	 * @param parameters the figures and the parts that are on
+	 * Creates decisions with the policy features that the parameters enable.
+	 * @param parameters the parameters and the enabled features
 	 * @param seed the seed of all random choices
 	 * @return decisions with empty tables
 	 */
@@ -30,9 +30,9 @@
 	}
 
 	/**
-	 * A simple load balancer to measure against: least in flight, replay on a break, a
-	 * bound on open requests.
-	 * @param parameters the figures; the parts of the policy are switched off
+	 * Creates a simple load balancer as the baseline of measurements: least requests in
+	 * flight, replay after a failure, and a limit of the open requests.
+	 * @param parameters the parameters; all policy features are disabled
 	 * @param seed the seed of all random choices
 	 * @return decisions with empty tables
 	 */
@@ -44,29 +44,29 @@
 	// -- decisions
 
 	/**
-	 * Takes an event into the tables.
-	 * @param event what happened
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
+	 * Records an event in the tables.
+	 * @param event the event
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void accept(ServingEvent event, long nowNanos);
 
 	/**
 	 * Runs all systems over the tables.
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
-	 * @return what the traffic threads must do, in order
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the commands for the traffic threads, in order
 	 */
 	List<ServingCommand> tick(long nowNanos);
 
 	/**
-	 * What this process uses, for its peers.
+	 * Returns the usage of this process, which is reported to its peers.
 	 * @return tokens in flight by organisation
 	 */
 	Map<String, Long> tokensInFlight();
 
 	/**
-	 * Broken invariants found since the last call; each is a defect of this program that
-	 * the caller logs and counts.
-	 * @return a sentence for each, empty when all is well
+	 * Returns the invariant violations found since the last call; each is a defect of
+	 * this program that the caller logs and counts.
+	 * @return a sentence for each violation, empty if there is none
 	 */
 	default List<String> takeViolations() {
 		return List.of();
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingEvent.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingEvent.java
@@ -9,8 +9,8 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * Something that happened and that the serving decisions must know. Times are on the
- * monotonic clock, in nanoseconds.
+ * An event that the serving decisions take into account. Times are on the monotonic
+ * clock, in nanoseconds.
  */
 public sealed interface ServingEvent {
 
@@ -20,23 +20,25 @@
 	 * A caller's request passed authentication and validation.
 	 *
 	 * @param request the request
-	 * @param spec what is asked
+	 * @param spec the properties of the request
 	 */
 	record RequestArrived(RequestId request, RequestSpec spec) implements ServingEvent {
 	}
 
 	/**
-	 * A request comes from a peer that is leaving, with the tokens it already has.
+	 * A peer that is leaving handed over a request, with the tokens that were already
+	 * emitted.
 	 *
 	 * @param request the request
-	 * @param spec what is asked
-	 * @param emittedTokens the tokens the caller already has or will get from the peer
+	 * @param spec the properties of the request
+	 * @param emittedTokens the tokens that the caller already has or will get from the
+	 * peer
 	 */
 	record RequestAdopted(RequestId request, RequestSpec spec, int emittedTokens) implements ServingEvent {
 	}
 
 	/**
-	 * The caller went away or the request moved to a peer.
+	 * The caller disconnected or the request moved to a peer.
 	 *
 	 * @param request the request
 	 */
@@ -46,25 +48,26 @@
 	// -- attempts
 
 	/**
-	 * A backend server runs the attempt.
+	 * A backend server accepted the attempt and runs it.
 	 *
 	 * @param attempt the attempt
-	 * @param cachedTokens prompt tokens it found in its prefix cache
+	 * @param cachedTokens the prompt tokens found in its prefix cache
 	 */
 	record AttemptAccepted(AttemptId attempt, int cachedTokens) implements ServingEvent {
 	}
 
 	/**
-	 * Tokens arrived.
+	 * Tokens were received.
 	 *
 	 * @param attempt the attempt
-	 * @param emittedTokens all tokens of the answer so far, of earlier attempts too
+	 * @param emittedTokens all tokens of the answer so far, including those of earlier
+	 * attempts
 	 */
 	record AttemptProgressed(AttemptId attempt, int emittedTokens) implements ServingEvent {
 	}
 
 	/**
-	 * The whole answer arrived.
+	 * The whole answer was received.
 	 *
 	 * @param attempt the attempt
 	 */
@@ -75,16 +78,16 @@
 	 * The backend server refused the attempt before running it.
 	 *
 	 * @param attempt the attempt
-	 * @param refusal its reason
+	 * @param refusal the reason
 	 */
 	record AttemptRefused(AttemptId attempt, Refusal refusal) implements ServingEvent {
 	}
 
 	/**
-	 * The attempt broke off.
+	 * The connection of the attempt failed.
 	 *
 	 * @param attempt the attempt
-	 * @param breakage how
+	 * @param breakage the kind of failure
 	 */
 	record AttemptBroken(AttemptId attempt, Breakage breakage) implements ServingEvent {
 	}
@@ -92,8 +95,8 @@
 	// -- backend servers
 
 	/**
-	 * The VM list or the configuration shows a backend server that may take work. It does
-	 * not revive one that is known to be leaving.
+	 * The VM list or the configuration contains a backend server that may accept work.
+	 * This does not bring back a server that is known to be leaving.
 	 *
 	 * @param server the VM
 	 * @param pool the name of its pool
@@ -107,14 +110,14 @@
 	 * A backend server is leaving; this is final for its VM.
 	 *
 	 * @param server the VM
-	 * @param source who said so
-	 * @param goneAtNanos when it is expected to vanish, {@link Long#MAX_VALUE} if unknown
+	 * @param source the source of the information
+	 * @param goneAtNanos the expected termination time, {@link Long#MAX_VALUE} if unknown
 	 */
 	record ServerLeaving(VmId server, LeavingSource source, long goneAtNanos) implements ServingEvent {
 	}
 
 	/**
-	 * A backend server vanished.
+	 * The VM of a backend server was terminated.
 	 *
 	 * @param server the VM
 	 */
@@ -122,25 +125,25 @@
 	}
 
 	/**
-	 * A load report arrived; it describes an earlier moment.
+	 * A load report was received; it describes an earlier moment.
 	 *
 	 * @param server the VM
-	 * @param running streams running
-	 * @param queued streams waiting in the engine
-	 * @param tokensPerSecond tokens generated a second, over all streams
-	 * @param ageNanos how old the report was on arrival, in nanoseconds
+	 * @param running the number of running streams
+	 * @param queued the number of streams that wait in the engine
+	 * @param tokensPerSecond the tokens generated per second, over all streams
+	 * @param ageNanos the age of the report on arrival, in nanoseconds
 	 */
 	record LoadReported(VmId server, int running, int queued, double tokensPerSecond,
 			long ageNanos) implements ServingEvent {
 	}
 
 	/**
-	 * Cache events arrived, late and possibly with gaps.
+	 * Cache events were received, late and possibly with gaps.
 	 *
 	 * @param server the VM
-	 * @param added blocks that the cache gained
-	 * @param removed blocks that the cache lost
-	 * @param gap whether events before these were missed
+	 * @param added the blocks added to the cache
+	 * @param removed the blocks removed from the cache
+	 * @param gap whether earlier events were missed
 	 */
 	record CacheReported(VmId server, List<Long> added, List<Long> removed, boolean gap) implements ServingEvent {
 	}
@@ -148,7 +151,7 @@
 	// -- configuration and peers
 
 	/**
-	 * A configuration is in force.
+	 * A configuration came into force.
 	 *
 	 * @param configuration the configuration
 	 */
@@ -156,55 +159,56 @@
 	}
 
 	/**
-	 * What the peers use, from their digests.
+	 * The peers reported their usage in their digests.
 	 *
-	 * @param livePeers live entry processes, this one included
-	 * @param tokensInFlight tokens in flight at the peers by organisation, without this
-	 * process
+	 * @param livePeers the number of live entry processes, including this one
+	 * @param tokensInFlight the tokens in flight at the peers by organisation, without
+	 * this process
 	 */
 	record PeersReported(int livePeers, Map<String, Long> tokensInFlight) implements ServingEvent {
 	}
 
-	/**
-	 * This entry process stops: nothing new is accepted.
-	 */
+	/** This entry process is stopping and accepts no new requests. */
 	record StopRequested() implements ServingEvent {
 	}
 
 	// -- reasons
 
-	/** Why a backend server refused an attempt before running it. */
+	/** The reason why a backend server refused an attempt before running it. */
 	enum Refusal {
 
-		/** It is leaving. */
+		/** The backend server is leaving. */
 		LEAVING,
 
-		/** Its queue is full. */
+		/** The queue of the backend server is full. */
 		FULL,
 
-		/** It has not loaded the model or adapter. */
+		/** The backend server has not loaded the model or adapter. */
 		NOT_LOADED,
 
-		/** It no longer has the stream that was to be resumed. */
+		/** The backend server no longer has the stream that was to be resumed. */
 		UNKNOWN_STREAM
 
 	}
 
-	/** How an attempt broke off. */
+	/** The kind of failure of an attempt's connection. */
 	enum Breakage {
 
-		/** No connection was made; nothing was sent. */
+		/** No connection was established; nothing was sent. */
 		CONNECT_FAILED,
 
-		/** The connection closed or broke. */
+		/** The connection was closed or lost. */
 		CONNECTION_LOST,
 
-		/** No heartbeat came within the silence limit; the engine may be well. */
+		/**
+		 * No heartbeat was received within the silence limit; the engine may still be
+		 * running.
+		 */
 		SILENT
 
 	}
 
-	/** Who said that a backend server is leaving. */
+	/** The source of the information that a backend server is leaving. */
 	enum LeavingSource {
 
 		/** The platform's VM list. */
@@ -213,13 +217,13 @@
 		/** A reclaim notice of the cloud API. */
 		RECLAIM_NOTICE,
 
-		/** The backend server's own refusal. */
+		/** A refusal by the backend server itself. */
 		SERVER,
 
-		/** An entry or controller process that learned it first. */
+		/** An entry or controller process that received the information first. */
 		PEER,
 
-		/** An operator or the controller drains it. */
+		/** A drain by an operator or the controller. */
 		DRAIN
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingParameters.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingParameters.java
@@ -5,22 +5,23 @@
 import java.util.Set;
 
 /**
- * What the serving decisions are started with.
+ * The parameters of the serving decisions.
  *
  * @param zone the availability zone of this process
- * @param features the parts of the policy that are on
- * @param requestLimit the greatest number of open requests in this process
- * @param affinityBlocks the prompt blocks that choose the home server; deeper ones differ
- * too much between requests that share a history
- * @param prefillTokensPerSecond prompt tokens a backend server computes a second, until
- * measured
+ * @param features the enabled policy features
+ * @param requestLimit the maximum number of open requests in this process
+ * @param affinityBlocks the number of prompt blocks that determine the home server;
+ * deeper blocks differ too much between requests that share a history
+ * @param prefillTokensPerSecond the prompt tokens that a backend server computes per
+ * second, until measured
  * @param tokenNanos the time between two tokens of a stream, until measured, in
  * nanoseconds
- * @param exportTokensPerSecond tokens of KV cache a backend server exports a second
+ * @param exportTokensPerSecond the tokens of KV cache that a backend server exports per
+ * second
  * @param noticeMarginNanos the part of a reclaim notice that is not relied on, in
  * nanoseconds
- * @param retryShare retries allowed for each fresh dispatch
- * @param retryBurst retries allowed at once after a quiet time
+ * @param retryShare the retries allowed per first dispatch
+ * @param retryBurst the retries allowed in one burst after a time without retries
  */
 public record ServingParameters(String zone, Set<ServingFeature> features, int requestLimit, int affinityBlocks,
 		double prefillTokensPerSecond, long tokenNanos, double exportTokensPerSecond, long noticeMarginNanos,
@@ -36,7 +37,7 @@
 	// -- factories
 
 	/**
-	 * The whole policy with its default figures.
+	 * Returns the parameters of the whole policy with default values.
 	 * @param zone the availability zone of this process
 	 * @return the parameters
 	 */
@@ -48,8 +49,8 @@
 	// -- changes
 
 	/**
-	 * The same figures with other parts of the policy.
-	 * @param features the parts that are on
+	 * Returns the same parameters with other policy features.
+	 * @param features the enabled features
 	 * @return the changed parameters
 	 */
 	public ServingParameters withFeatures(Set<ServingFeature> features) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingState.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingState.java
@@ -13,7 +13,10 @@
 import org.rosemaryfront.model.Resource.Pool;
 import org.rosemaryfront.model.Verdict;
 
-/** What the systems share: the tables, the estimates and the commands of this tick. */
+/**
+ * The state shared by the systems: the tables, the estimates and the commands of this
+ * tick.
+ */
 final class ServingState {
 
 	private static final double SHORT_NANOS = 2e9;
@@ -36,16 +39,18 @@
 
 	final RetryBudget retryBudget;
 
-	/** The summaries that this process sent to backend servers. */
+	/** The rate at which this process dispatches summaries to backend servers. */
 	final RateMeter summaryStarts = new RateMeter(SHORT_NANOS);
 
-	/** The chats that callers sent to this process, refused ones too. */
+	/** The rate at which this process receives chats, including refused ones. */
 	final RateMeter chatArrivals = new RateMeter(LONG_NANOS);
 
-	/** The summaries of this process that backend servers have. */
+	/** The number of summaries of this process that run on backend servers. */
 	int summariesRunning;
 
-	/** Attempts that ended without an answer and wait for a decision. */
+	/**
+	 * Attempts that ended before the whole answer was received and still need a decision.
+	 */
 	final List<EndedAttempt> ended = new ArrayList<>();
 
 	private final Map<String, Pool> pools = new HashMap<>();
@@ -80,7 +85,7 @@
 		return this.parameters.has(feature);
 	}
 
-	// The declared pool, null when the configuration does not have it.
+	// Returns the declared pool, or null if the configuration does not contain it.
 	Pool pool(String name) {
 		return this.pools.get(name);
 	}
@@ -107,7 +112,7 @@
 
 	// -- commands
 
-	// Cancels a stream that no attempt follows any more.
+	// Cancels the stream of an attempt that has already ended here.
 	void cancelStream(Attempt ended, String reason) {
 		this.commands.add(new ServingCommand.Cancel(ended.request.id, ended.id, reason));
 	}
@@ -120,14 +125,14 @@
 
 	void cancel(Attempt attempt, String reason, long nowNanos) {
 		end(attempt, nowNanos);
-		// The engine may have begun it before the cancellation arrives, so a later
-		// refusal of the request must not say that it did not run.
+		// The engine may have started the attempt before the cancellation arrives, so a
+		// later refusal of the request must not report that it did not run.
 		attempt.request.verdict = attempt.request.verdict.then(Verdict.mayHaveRun());
 		this.commands.add(new ServingCommand.Cancel(attempt.request.id, attempt.id, reason));
 	}
 
-	// Begins an attempt. New work to a leaving server is the invariant that every way of
-	// routing shares, so it is checked here.
+	// Starts an attempt. No routing path may give new work to a leaving server; this
+	// invariant is checked here because all paths share this method.
 	void dispatch(Request request, Server server, ServingCommand.Mode mode, String reason, long nowNanos) {
 		boolean reattach = mode instanceof ServingCommand.Mode.Reattach;
 		if (!reattach && !server.live()) {
@@ -149,7 +154,7 @@
 		this.commands.add(new ServingCommand.Dispatch(request.id, id, server.id, server.address, mode, reason));
 	}
 
-	// Ends a request with its one final answer.
+	// Ends a request with its only final response.
 	void refuse(Request request, Problem problem, long nowNanos) {
 		if (request.attempt != null) {
 			cancel(request.attempt, problem.code().code(), nowNanos);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Shares.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Shares.java
@@ -6,14 +6,15 @@
 import org.rosemaryfront.model.Resource.Organisation;
 
 /**
- * What organisations use of their shares, over all entry processes: own tokens in flight
- * and those of the peers' digests.
+ * The usage of the organisations' shares over all entry processes: the tokens in flight
+ * of this process and those from the digests of its peers.
  */
 final class Shares {
 
 	/**
-	 * Standard deviations that an organisation may be over its slots: with random
-	 * arrivals the slots in use vary by about the square root of their mean.
+	 * The number of standard deviations by which an organisation may exceed its slots:
+	 * with random arrivals the number of slots in use varies by about the square root of
+	 * its mean.
 	 */
 	private static final double TOLERANCE = 2;
 
@@ -55,7 +56,7 @@
 		return Map.copyOf(this.own);
 	}
 
-	// Whether an organisation holds clearly more than its part of all slots.
+	// Whether an organisation uses clearly more than its share of all slots.
 	boolean over(String organisation, double slots) {
 		double part = weight(organisation) / Math.max(this.weightSum, weight(organisation));
 		double own = part * slots;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/SummaryLimit.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/SummaryLimit.java
@@ -3,17 +3,17 @@
 import org.rosemaryfront.model.Resource.Priority;
 
 /**
- * How many summaries of this process may run at a time: its part of the slots that the
- * chats leave.
+ * Computes how many summaries of this process may run at the same time: its part of the
+ * slots that chats leave free.
  */
 final class SummaryLimit {
 
 	/**
-	 * The part of all slots that summaries can always have, so that chat starves none.
+	 * The minimum fraction of all slots for summaries, so that chat does not starve them.
 	 */
 	private static final double LEAST_SHARE = 0.1;
 
-	/** What chats are taken to need beyond their mean. */
+	/** The factor by which chats are assumed to need more slots than their mean. */
 	private static final double CHAT_MARGIN = 1.1;
 
 	private SummaryLimit() {
@@ -25,8 +25,8 @@
 		return Math.max(LEAST_SHARE * slots, slots - CHAT_MARGIN * chats);
 	}
 
-	// Summaries that can begin a nanosecond: as many as began lately, or as the limit
-	// allows when few were there to begin.
+	// Returns the number of summaries that can start per nanosecond: the recent rate, or
+	// the rate that the limit allows if few summaries were waiting to start.
 	static double startsPerNano(ServingState state, String pool, long nowNanos) {
 		double allowed = of(state, pool, nowNanos) / state.estimates.answerNanos(Priority.SUMMARY);
 		return Math.max(allowed, state.summaryStarts.perNano(nowNanos));
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/TableServingDecisions.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/TableServingDecisions.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** The decisions as systems that run in order over the tables. */
+/** Implements the decisions as systems that run in a fixed order over the tables. */
 final class TableServingDecisions implements ServingDecisions {
 
 	private final ServingState state;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/WorkEstimates.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/WorkEstimates.java
@@ -3,21 +3,21 @@
 import org.rosemaryfront.model.Resource.Priority;
 
 /**
- * What work takes, measured on the answers seen: exponentially weighted means that start
- * from the parameters.
+ * Estimates the duration and size of work by exponentially weighted means over measured
+ * answers, which start from the parameters.
  */
 final class WorkEstimates {
 
-	/** The weight of the newest measurement. */
+	/** The smoothing factor of all means. */
 	private static final double NEWEST = 0.05;
 
 	/**
-	 * The least tokens whose computation is measured; the time of fewer is that of a
-	 * step, whatever their number.
+	 * The minimum number of computed tokens for a measurement; fewer tokens take the time
+	 * of one engine step, whatever their number.
 	 */
 	private static final int LEAST_COMPUTED = 256;
 
-	/** The time of an answer until one was measured, in nanoseconds. */
+	/** The duration of an answer until one was measured, in nanoseconds. */
 	private static final double FIRST_ANSWER_NANOS = 2e9;
 
 	private final double[] lengthShare = { 1, 1 };
@@ -58,7 +58,7 @@
 
 	// -- estimates
 
-	// Tokens that the whole answer is expected to have.
+	// Returns the expected number of tokens in the whole answer.
 	double answerTokens(Request request) {
 		return Math.max(request.emittedTokens + 1,
 				this.lengthShare[request.spec.priority().ordinal()] * request.spec.maxTokens());
@@ -68,12 +68,12 @@
 		return this.lengthShare[priority.ordinal()] * maxTokens;
 	}
 
-	// The time to compute tokens that are in no cache, in nanoseconds.
+	// Returns the time to prefill tokens that are not cached, in nanoseconds.
 	double prefillNanos(double tokens) {
 		return tokens * 1e9 / this.prefillTokensPerSecond;
 	}
 
-	// The time that an answer keeps a slot, in nanoseconds.
+	// Returns the time that an answer occupies a slot, in nanoseconds.
 	double answerNanos() {
 		return this.answerNanos;
 	}
@@ -82,7 +82,7 @@
 		return this.answerNanosByPriority[priority.ordinal()];
 	}
 
-	// The time of a step of the engine, in nanoseconds.
+	// Returns the duration of an engine step, in nanoseconds.
 	double stepNanos() {
 		return this.tokenNanos;
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/RecoveryMatrixTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/RecoveryMatrixTests.java
@@ -24,9 +24,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Every fault at every step of a request's path. A caller sees its answer end early or
- * twice when a fault meets a step that nobody thought of; so after each fault the request
- * must still end exactly once, with all tokens, and never on a server that is leaving.
+ * Injects every fault at every stage of a request. If a combination is not handled, the
+ * caller's answer ends early or twice. After each fault the request must still end
+ * exactly once, with all tokens, and never be dispatched to a leaving server.
  */
 class RecoveryMatrixTests {
 
@@ -42,12 +42,12 @@
 
 	private long now = 1_000 * MILLI;
 
-	/** When VMs vanish. */
+	/** The termination times of the leaving VMs. */
 	private final Map<VmId, Long> goneAt = new HashMap<>();
 
 	private Dispatch current;
 
-	/** Whether the current attempt's engine still sends tokens. */
+	/** Whether the engine of the current attempt still sends tokens. */
 	private boolean alive;
 
 	private int emitted;
@@ -72,7 +72,7 @@
 		assertThat(this.decisions.tokensInFlight()).isEmpty();
 	}
 
-	// -- steps
+	// -- stages and faults
 
 	private void reach(Step step) {
 		seen("vm-0");
@@ -163,7 +163,8 @@
 		tick();
 	}
 
-	// A VM whose notice ended answers nothing more, and its connections stay open.
+	// A VM sends nothing more after the end of its notice, but its connections stay open
+	// for another second.
 	private void vanish() {
 		Long end = this.goneAt.get(this.current.server());
 		if (end != null && this.now >= end) {
@@ -197,7 +198,7 @@
 				this.now + noticeMillis * MILLI));
 	}
 
-	// Tokens of an attempt that was replaced are not counted, as the traffic side does.
+	// Like the traffic code, does not count tokens of an attempt that was replaced.
 	private void token() {
 		this.now += MILLI;
 		this.emitted++;
@@ -232,14 +233,14 @@
 		this.alive = true;
 	}
 
-	/** Where the request stands when the fault strikes. */
+	/** The stage of the request at which the fault is injected. */
 	enum Step {
 
 		ARRIVED, DISPATCHED, ACCEPTED, FIRST_TOKEN, MID_STREAM, MOVING, LAST_TOKEN
 
 	}
 
-	/** What happens to it, twice in a row. */
+	/** The fault, injected twice in a row. */
 	enum Fault {
 
 		CONNECT_FAILED, CONNECTION_LOST, CONNECTION_LOST_WHEN_LEAVING, SILENT, REFUSED_LEAVING, REFUSED_FULL,
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/ServingDecisionsTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/ServingDecisionsTests.java
@@ -59,9 +59,9 @@
 		assertThat(refuse.problem().retryAfter()).isPresent();
 	}
 
-	// Engines were slow for a while, and the measured rate of prompts became small.
-	// Then a caller sends a long history to the idle pool and reads "overloaded", and
-	// so does each repeat, for good: what is refused cannot correct the measured rate.
+	// A period with slow engines lowers the measured prefill rate. If a long prompt were
+	// then refused as "overloaded" on an idle pool, every retry would be refused too,
+	// because refused requests cannot correct the measured rate.
 	@Test
 	void shouldAcceptALongPromptWhenThePoolIsIdleAndEarlierOnesWereSlow() {
 		seen(FIRST);
@@ -76,7 +76,7 @@
 		assertThat(dispatched(arrive("long", 4_000)).server()).isEqualTo(FIRST);
 	}
 
-	// -- backend servers that leave
+	// -- leaving backend servers
 
 	@ParameterizedTest
 	@EnumSource
@@ -90,9 +90,9 @@
 		assertThat(this.decisions.takeViolations()).isEmpty();
 	}
 
-	// A caller's request goes to a VM that vanished and waits for its time-out. The VM is
-	// reclaimed and gone; then an old VM list arrives that still shows it alive, or the
-	// notice came before the list showed it at all.
+	// A request that is sent to a terminated VM waits for its time-out. This happens if
+	// an outdated VM list that still contains the VM arrives after its termination, or if
+	// the notice arrives before the VM is listed at all.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void shouldNotBelieveAnOldListThatShowsADepartedServer(boolean seenBefore) {
@@ -105,8 +105,8 @@
 		assertThat(arrive("r").getFirst()).isInstanceOf(Refuse.class);
 	}
 
-	// An engine knows that it is leaving before its notice or the list says so here. Its
-	// refusal of one request must keep the next ones away too.
+	// An engine may know that it is leaving before its notice or the VM list arrives
+	// here. After it refused one request for this reason, it must not get new ones.
 	@Test
 	void shouldGiveNoNewWorkToAServerThatRefusedAsLeaving() {
 		seen(FIRST);
@@ -139,7 +139,7 @@
 		assertThat(tick()).isEmpty();
 	}
 
-	// -- attempts that break
+	// -- failed attempts
 
 	@Test
 	void shouldAttachAgainToASilentStreamAndReplayElsewhereWhenItStaysSilent() {
@@ -180,9 +180,9 @@
 		assertThat(this.decisions.tokensInFlight()).containsEntry("builder", 100L);
 	}
 
-	// A caller is told "not run" although an engine ran its request. The chat waits in an
-	// engine's queue, is sent elsewhere, and its time passes while the cancellation is
-	// under way.
+	// The caller must not be told "not run" if an engine may have run the request: a chat
+	// that waits in an engine's queue is sent elsewhere, and its deadline passes before
+	// the cancellation arrives.
 	@Test
 	void shouldNotSayNotRunOfARequestThatWasSentElsewhere() {
 		seen(FIRST);
@@ -210,7 +210,7 @@
 		assertThat(tick()).isEmpty();
 	}
 
-	// -- steps
+	// -- helpers
 
 	private List<ServingCommand> arrive(String request) {
 		return arrive(request, 20);
