--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/AdmissionSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/AdmissionSystem.java
@@ -18,10 +18,10 @@
 	/**
 	 * The fraction of the slots that can be in use before some server has no free slot.
 	 */
-	private static final double USABLE = 0.95;
+	private static final double USABLE_SLOT_FRACTION = 0.95;
 
 	/** The pool utilisation above which organisations over their share are refused. */
-	private static final double SHARED_USE = 0.7;
+	private static final double FAIR_SHARE_UTILISATION = 0.7;
 
 	@Override
 	public void run(ServingState state, long nowNanos) {
@@ -29,7 +29,7 @@
 			return;
 		}
 		for (Request request : new ArrayList<>(state.requests.arrived())) {
-			Optional<Problem> problem = request.adopted ? Optional.empty() : problem(state, request, nowNanos);
+			Optional<Problem> problem = request.adopted ? Optional.empty() : findProblem(state, request, nowNanos);
 			if (problem.isPresent()) {
 				state.refuse(request, problem.get(), nowNanos);
 			}
@@ -41,7 +41,7 @@
 
 	// A request that a peer handed over was already accepted there and is not checked
 	// again.
-	private static Optional<Problem> problem(ServingState state, Request request, long nowNanos) {
+	private static Optional<Problem> findProblem(ServingState state, Request request, long nowNanos) {
 		String pool = request.spec.pool();
 		if (state.stopping) {
 			return refusal(ProblemCode.NOT_READY, "this entry process is stopping", RETRY_AFTER);
@@ -53,51 +53,55 @@
 			return refusal(ProblemCode.OVERLOADED, "too many open requests", RETRY_AFTER);
 		}
 		PoolLoad load = PoolLoad.of(state, pool);
-		if (state.has(ServingFeature.FAIR_SHARES) && load.used() > SHARED_USE
-				&& state.shares.over(request.spec.organisation(), load.slots())) {
+		if (state.has(ServingFeature.FAIR_SHARES) && load.utilisation() > FAIR_SHARE_UTILISATION
+				&& state.shares.exceedsShare(request.spec.organisation(), load.slots())) {
 			return refusal(ProblemCode.OVER_SHARE, "the organisation uses more than its share", RETRY_AFTER);
 		}
-		return state.has(ServingFeature.ADMISSION) ? late(state, request, load, nowNanos) : Optional.empty();
+		return state.has(ServingFeature.ADMISSION) ? findDeadlineProblem(state, request, load, nowNanos)
+				: Optional.empty();
 	}
 
 	// -- deadlines
 
-	private static Optional<Problem> late(ServingState state, Request request, PoolLoad load, long nowNanos) {
-		double wait = request.chat() ? chatWait(state, load) : summaryWait(state, request);
+	private static Optional<Problem> findDeadlineProblem(ServingState state, Request request, PoolLoad load,
+			long nowNanos) {
+		double waitNanos = request.isChat() ? chatWaitNanos(state, load) : summaryWaitNanos(state, request);
 		// A request that can start immediately is not refused for its own estimated
 		// duration: a later retry would not help, and estimates that were distorted by a
 		// short burst or a slow engine could never be corrected, so that every long
 		// prompt would be refused as "overloaded" on an idle pool.
-		if (request.chat() ? load.hasFreeSlot() : wait == 0) {
+		if (request.isChat() ? load.hasFreeSlot() : waitNanos == 0) {
 			return Optional.empty();
 		}
-		double prefill = state.estimates.prefillNanos(request.contextTokens());
-		double answer = state.estimates.answerTokens(request) * state.estimates.tokenNanos();
-		boolean late = nowNanos + wait + prefill > startBy(request)
-				|| nowNanos + wait + prefill + answer > request.spec.answerNanos();
+		double prefillNanos = state.estimates.prefillNanos(request.contextTokens());
+		double answerNanos = state.estimates.answerTokens(request) * state.estimates.tokenNanos();
+		boolean late = nowNanos + waitNanos + prefillNanos > latestStartNanos(request)
+				|| nowNanos + waitNanos + prefillNanos + answerNanos > request.spec.answerNanos();
 		return late ? refusal(ProblemCode.OVERLOADED, "it could not be answered in time",
-				Duration.ofMillis((long) (wait / 1e6) + 1)) : Optional.empty();
+				Duration.ofMillis((long) (waitNanos / 1e6) + 1)) : Optional.empty();
 	}
 
 	// Summaries that wait longer than half of their time to the first token take slots
 	// from chat, so only those that are expected to start earlier are accepted.
-	private static long startBy(Request request) {
-		long latest = request.spec.firstTokenNanos();
-		return request.chat() ? latest : (request.arrivedNanos + latest) / 2;
+	private static long latestStartNanos(Request request) {
+		long deadlineNanos = request.spec.firstTokenDeadlineNanos();
+		return request.isChat() ? deadlineNanos : (request.arrivedNanos + deadlineNanos) / 2;
 	}
 
-	private static double chatWait(ServingState state, PoolLoad load) {
-		return WAIT_MARGIN * load.waitNanos(USABLE, state.estimates.answerNanos());
+	private static double chatWaitNanos(ServingState state, PoolLoad load) {
+		return WAIT_MARGIN * load.waitNanos(USABLE_SLOT_FRACTION, state.estimates.answerNanos());
 	}
 
 	// Summaries wait in this process behind the summaries of the same pool that arrived
 	// earlier.
-	private static double summaryWait(ServingState state, Request request) {
-		long ahead = state.requests.waiting()
+	private static double summaryWaitNanos(ServingState state, Request request) {
+		long earlierSummaries = state.requests.waiting()
 			.stream()
-			.filter((other) -> !other.chat() && other.spec.pool().equals(request.spec.pool()))
+			.filter((other) -> !other.isChat() && other.spec.pool().equals(request.spec.pool()))
 			.count();
-		return (ahead > 0) ? ahead / SummaryLimit.startsPerNano(state, request.spec.pool(), request.arrivedNanos) : 0;
+		return (earlierSummaries > 0)
+				? earlierSummaries / SummaryLimit.maxStartsPerNano(state, request.spec.pool(), request.arrivedNanos)
+				: 0;
 	}
 
 	private static Optional<Problem> refusal(ProblemCode code, String detail, Duration retryAfter) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Attempt.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Attempt.java
@@ -8,7 +8,7 @@
 	final AttemptId id;
 
 	/** The ID of the attempt under which the stream was opened at the engine. */
-	final AttemptId stream;
+	final AttemptId streamId;
 
 	final Request request;
 
@@ -19,12 +19,12 @@
 	final long dispatchedNanos;
 
 	/** The number of answer tokens that were already emitted at dispatch. */
-	final int firstOffset;
+	final int initialTokens;
 
 	/**
 	 * The prompt tokens in the server's prefix cache at dispatch, according to the hints.
 	 */
-	final int believedTokens;
+	final int hintedTokens;
 
 	boolean accepted;
 
@@ -33,20 +33,20 @@
 	int cachedTokens;
 
 	/** Whether its first token was received. */
-	boolean begun;
+	boolean firstTokenReceived;
 
 	long lastTokenNanos;
 
-	Attempt(AttemptId id, AttemptId stream, Request request, Server server, ServingCommand.Mode mode,
+	Attempt(AttemptId id, AttemptId streamId, Request request, Server server, ServingCommand.Mode mode,
 			long dispatchedNanos) {
 		this.id = id;
-		this.stream = stream;
+		this.streamId = streamId;
 		this.request = request;
 		this.server = server;
 		this.mode = mode;
 		this.dispatchedNanos = dispatchedNanos;
-		this.believedTokens = server.hints.believedBlocks(request.blocks) * PrefixBlocks.BLOCK_TOKENS;
-		this.firstOffset = request.emittedTokens;
+		this.hintedTokens = server.hints.hintedBlocks(request.blocks) * PrefixBlocks.BLOCK_TOKENS;
+		this.initialTokens = request.emittedTokens;
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/AttemptTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/AttemptTable.java
@@ -27,7 +27,7 @@
 		attempt.request.attempt = attempt;
 	}
 
-	void accepted(Attempt attempt) {
+	void markAccepted(Attempt attempt) {
 		this.unaccepted.remove(attempt);
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Candidates.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Candidates.java
@@ -10,32 +10,32 @@
 final class Candidates {
 
 	/** The maximum number of candidates. */
-	static final int COUNT = 16;
+	static final int MAX_COUNT = 16;
 
 	/** The number of candidates that are taken from the hash ring. */
-	private static final int ON_RING = 12;
+	private static final int MAX_RING_COUNT = 12;
 
-	private final Server[] onRing = new Server[ON_RING];
+	private final Server[] ringServers = new Server[MAX_RING_COUNT];
 
-	private final Server[] found = new Server[COUNT];
+	private final Server[] servers = new Server[MAX_COUNT];
 
 	private int count;
 
 	// -- search
 
 	void find(ServerPool pool, long key, SplittableRandom random) {
-		if (pool.live().size() <= COUNT) {
+		if (pool.live().size() <= MAX_COUNT) {
 			this.count = pool.live().size();
 			int offset = (this.count > 0) ? random.nextInt(this.count) : 0;
 			for (int i = 0; i < this.count; i++) {
-				this.found[i] = pool.live().get((i + offset) % this.count);
+				this.servers[i] = pool.live().get((i + offset) % this.count);
 			}
 			return;
 		}
-		this.count = pool.ring().after(key, this.onRing);
-		System.arraycopy(this.onRing, 0, this.found, 0, this.count);
-		while (this.count < COUNT) {
-			this.found[this.count++] = pool.live().get(random.nextInt(pool.live().size()));
+		this.count = pool.ring().findSuccessors(key, this.ringServers);
+		System.arraycopy(this.ringServers, 0, this.servers, 0, this.count);
+		while (this.count < MAX_COUNT) {
+			this.servers[this.count++] = pool.live().get(random.nextInt(pool.live().size()));
 		}
 	}
 
@@ -46,7 +46,7 @@
 	}
 
 	Server get(int index) {
-		return this.found[index];
+		return this.servers[index];
 	}
 
 	// Returns the server that all entry processes prefer for a key: the one with the
@@ -54,12 +54,12 @@
 	// candidates.
 	Server home(long key) {
 		Server home = null;
-		long highest = Long.MIN_VALUE;
+		long highestWeight = Long.MIN_VALUE;
 		for (int i = 0; i < this.count; i++) {
-			long weight = HashRing.mix(key ^ this.found[i].hash);
-			if (home == null || weight > highest) {
-				home = this.found[i];
-				highest = weight;
+			long weight = HashRing.mix(key ^ this.servers[i].hash);
+			if (home == null || weight > highestWeight) {
+				home = this.servers[i];
+				highestWeight = weight;
 			}
 		}
 		return home;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/DepartureSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/EvacuationSystem.java
@@ -13,7 +13,7 @@
  * replayed, whichever costs less by the weights of the pool. The longest contexts are
  * exported first.
  */
-final class DepartureSystem implements ServingSystem {
+final class EvacuationSystem implements ServingSystem {
 
 	/** The factor by which an answer may take longer than estimated. */
 	private static final double FINISH_MARGIN = 1.25;
@@ -23,7 +23,7 @@
 
 	private final Router router;
 
-	DepartureSystem(Router router) {
+	EvacuationSystem(Router router) {
 		this.router = router;
 	}
 
@@ -33,37 +33,39 @@
 			return;
 		}
 		for (Server server : state.servers.leaving()) {
-			if (!server.attempts.isEmpty() && server.goneAtNanos != Long.MAX_VALUE) {
+			if (!server.attempts.isEmpty() && server.terminationNanos != Long.MAX_VALUE) {
 				evacuate(state, server, nowNanos);
 			}
 		}
 	}
 
 	private void evacuate(ServingState state, Server server, long nowNanos) {
-		List<Attempt> moving = new ArrayList<>();
+		List<Attempt> movingAttempts = new ArrayList<>();
 		double exportNanos = 0;
 		for (Attempt attempt : server.attempts.values()) {
-			if (!finishes(state, attempt, nowNanos)) {
-				moving.add(attempt);
+			if (!finishesInTime(state, attempt, nowNanos)) {
+				movingAttempts.add(attempt);
 				exportNanos += exportNanos(state, attempt);
 			}
 		}
-		moving.sort(LONGEST_CONTEXT_FIRST);
-		boolean last = nowNanos + FINISH_MARGIN * exportNanos
-				+ 2 * state.parameters.noticeMarginNanos() > server.goneAtNanos;
-		moving.forEach((attempt) -> move(state, attempt, last, nowNanos));
+		movingAttempts.sort(LONGEST_CONTEXT_FIRST);
+		boolean mustMoveNow = nowNanos + FINISH_MARGIN * exportNanos
+				+ 2 * state.parameters.noticeMarginNanos() > server.terminationNanos;
+		movingAttempts.forEach((attempt) -> move(state, attempt, mustMoveNow, nowNanos));
 	}
 
 	// Whether the answer is expected to be complete before the server is terminated. An
 	// answer that is already longer than expected is assumed to need half of the tokens
 	// that it may still have.
-	private static boolean finishes(ServingState state, Attempt attempt, long nowNanos) {
+	private static boolean finishesInTime(ServingState state, Attempt attempt, long nowNanos) {
 		Request request = attempt.request;
-		double expected = state.estimates.answerTokens(request) - request.emittedTokens;
-		double remaining = (expected > 1) ? expected : (request.spec.maxTokens() - request.emittedTokens) / 2.0;
-		double prefill = attempt.begun ? 0 : state.estimates.prefillNanos(request.contextTokens());
-		double needed = prefill + remaining * state.estimates.tokenNanos();
-		return nowNanos + FINISH_MARGIN * needed + state.parameters.noticeMarginNanos() < attempt.server.goneAtNanos;
+		double expectedTokens = state.estimates.answerTokens(request) - request.emittedTokens;
+		double remainingTokens = (expectedTokens > 1) ? expectedTokens
+				: (request.spec.maxTokens() - request.emittedTokens) / 2.0;
+		double prefillNanos = attempt.firstTokenReceived ? 0 : state.estimates.prefillNanos(request.contextTokens());
+		double neededNanos = prefillNanos + remainingTokens * state.estimates.tokenNanos();
+		return nowNanos + FINISH_MARGIN * neededNanos
+				+ state.parameters.noticeMarginNanos() < attempt.server.terminationNanos;
 	}
 
 	// -- moves
@@ -71,9 +73,9 @@
 	// A stream moves immediately if another server has room. Otherwise it continues in
 	// place; when the notice is about to end, its request is marked as urgent for the
 	// choice of the server.
-	private void move(ServingState state, Attempt attempt, boolean last, long nowNanos) {
+	private void move(ServingState state, Attempt attempt, boolean mustMoveNow, long nowNanos) {
 		Request request = attempt.request;
-		request.urgent = last;
+		request.urgent = mustMoveNow;
 		Optional<Router.Choice> choice = this.router.choose(state, request, nowNanos);
 		if (choice.isEmpty()) {
 			request.urgent = false;
@@ -83,11 +85,11 @@
 		request.urgent = false;
 		if (state.has(ServingFeature.CACHE_MOVES) && importIsBetter(state, attempt, nowNanos)) {
 			Server source = attempt.server;
-			source.exportFreeNanos = (long) exportEnd(state, attempt, nowNanos);
+			source.exportFreeNanos = (long) exportEndNanos(state, attempt, nowNanos);
 			request.cacheSource = attempt;
 			state.end(attempt, nowNanos);
 			state.dispatch(request, destination,
-					new ServingCommand.Mode.Import(source.id, source.address, attempt.stream),
+					new ServingCommand.Mode.Import(source.id, source.address, attempt.streamId),
 					"cache move from leaving " + source.id, nowNanos);
 		}
 		else {
@@ -98,23 +100,24 @@
 	}
 
 	private static boolean importIsBetter(ServingState state, Attempt attempt, long nowNanos) {
-		if (!attempt.begun) {
+		if (!attempt.firstTokenReceived) {
 			return false;
 		}
-		double end = exportEnd(state, attempt, nowNanos);
-		if (end > attempt.server.goneAtNanos) {
+		double endNanos = exportEndNanos(state, attempt, nowNanos);
+		if (endNanos > attempt.server.terminationNanos) {
 			return false;
 		}
 		Pool pool = state.pool(attempt.request.spec.pool());
 		double tokenWeight = (pool != null) ? pool.recomputedTokenWeight() : 1;
 		double latenessWeight = (pool != null) ? pool.latenessWeight() : 1;
-		int context = attempt.request.contextTokens();
-		double importCost = latenessWeight * (end - nowNanos) / 1e9;
-		double replayCost = tokenWeight * context + latenessWeight * state.estimates.prefillNanos(context) / 1e9;
+		int contextTokens = attempt.request.contextTokens();
+		double importCost = latenessWeight * (endNanos - nowNanos) / 1e9;
+		double replayCost = tokenWeight * contextTokens
+				+ latenessWeight * state.estimates.prefillNanos(contextTokens) / 1e9;
 		return importCost < replayCost;
 	}
 
-	private static double exportEnd(ServingState state, Attempt attempt, long nowNanos) {
+	private static double exportEndNanos(ServingState state, Attempt attempt, long nowNanos) {
 		return Math.max(nowNanos, attempt.server.exportFreeNanos) + exportNanos(state, attempt);
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/EndedAttempt.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/FailedAttempt.java
@@ -4,16 +4,16 @@
 import org.rosemaryfront.serving.ServingEvent.Refusal;
 
 /** An attempt that ended before the whole answer was received. */
-sealed interface EndedAttempt {
+sealed interface FailedAttempt {
 
 	Attempt attempt();
 
 	/** The backend server refused the attempt before running it. */
-	record Refused(Attempt attempt, Refusal refusal) implements EndedAttempt {
+	record Refused(Attempt attempt, Refusal refusal) implements FailedAttempt {
 	}
 
 	/** The connection to the backend server failed. */
-	record Broken(Attempt attempt, Breakage breakage) implements EndedAttempt {
+	record ConnectionFailed(Attempt attempt, Breakage failure) implements FailedAttempt {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/HashRing.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/HashRing.java
@@ -16,44 +16,44 @@
 	 * The virtual nodes per server; more of them distribute keys more evenly but enlarge
 	 * the ring.
 	 */
-	private static final int PLACES = 32;
+	private static final int VIRTUAL_NODES = 32;
 
-	private final long[] places;
+	private final long[] positions;
 
 	private final Server[] owners;
 
-	private HashRing(long[] places, Server[] owners) {
-		this.places = places;
+	private HashRing(long[] positions, Server[] owners) {
+		this.positions = positions;
 		this.owners = owners;
 	}
 
 	static HashRing of(List<Server> servers) {
-		long[] sorted = new long[servers.size() * PLACES];
-		Map<Long, Server> byPlace = new HashMap<>(2 * sorted.length);
+		long[] sortedPositions = new long[servers.size() * VIRTUAL_NODES];
+		Map<Long, Server> serversByPosition = new HashMap<>(2 * sortedPositions.length);
 		int count = 0;
 		for (Server server : servers) {
-			for (int i = 0; i < PLACES; i++) {
-				long place = mix(server.hash + i * 0x9e3779b97f4a7c15L);
-				sorted[count++] = place;
-				byPlace.put(place, server);
+			for (int i = 0; i < VIRTUAL_NODES; i++) {
+				long position = mix(server.hash + i * 0x9e3779b97f4a7c15L);
+				sortedPositions[count++] = position;
+				serversByPosition.put(position, server);
 			}
 		}
-		Arrays.sort(sorted);
+		Arrays.sort(sortedPositions);
 		Server[] owners = new Server[count];
 		for (int i = 0; i < count; i++) {
-			owners[i] = byPlace.get(sorted[i]);
+			owners[i] = serversByPosition.get(sortedPositions[i]);
 		}
-		return new HashRing(sorted, owners);
+		return new HashRing(sortedPositions, owners);
 	}
 
 	// Fills the array with the first distinct servers after the key and returns their
 	// number.
-	int after(long key, Server[] found) {
-		int start = Arrays.binarySearch(this.places, key);
-		int place = (start < 0) ? -start - 1 : start;
+	int findSuccessors(long key, Server[] found) {
+		int start = Arrays.binarySearch(this.positions, key);
+		int position = (start < 0) ? -start - 1 : start;
 		int count = 0;
 		for (int i = 0; i < this.owners.length && count < found.length; i++) {
-			Server owner = this.owners[(place + i) % this.owners.length];
+			Server owner = this.owners[(position + i) % this.owners.length];
 			if (!contains(found, count, owner)) {
 				found[count++] = owner;
 			}
@@ -72,9 +72,9 @@
 
 	// The finaliser of SplitMix64 (Steele, Lea, Flood, 2014).
 	static long mix(long value) {
-		long mixed = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
-		mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
-		return mixed ^ (mixed >>> 31);
+		long hash = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
+		hash = (hash ^ (hash >>> 27)) * 0x94d049bb133111ebL;
+		return hash ^ (hash >>> 31);
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PrefixBlocks.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PrefixBlocks.java
@@ -45,33 +45,33 @@
 		Objects.requireNonNull(adapter, "adapter is null");
 		Objects.requireNonNull(prompt, "prompt is null");
 		List<Long> hashes = new ArrayList<>();
-		long before = HASHER.hashStream().putString(model).putString(adapter).getAsLong();
+		long previousHash = HASHER.hashStream().putString(model).putString(adapter).getAsLong();
 		int tokens = 0;
 		int blockStart = 0;
 		int position = 0;
 		while (position < prompt.length()) {
-			int end = tokenEnd(prompt, position);
+			int end = findTokenEnd(prompt, position);
 			if (end < 0) {
 				break;
 			}
 			tokens++;
 			position = end;
 			if (tokens % BLOCK_TOKENS == 0) {
-				before = chain(before, prompt, blockStart, end);
-				hashes.add(before);
+				previousHash = chain(previousHash, prompt, blockStart, end);
+				hashes.add(previousHash);
 				blockStart = end;
 			}
 		}
 		return new PrefixBlocks(tokens, hashes);
 	}
 
-	private static long chain(long before, String prompt, int start, int end) {
-		return HASHER.hashStream().putLong(before).putString(prompt.substring(start, end)).getAsLong();
+	private static long chain(long previousHash, String prompt, int start, int end) {
+		return HASHER.hashStream().putLong(previousHash).putString(prompt.substring(start, end)).getAsLong();
 	}
 
 	// Returns the end index of the token that begins at or after the given index, or a
 	// negative value if only white space follows.
-	private static int tokenEnd(String prompt, int start) {
+	private static int findTokenEnd(String prompt, int start) {
 		int position = start;
 		while (position < prompt.length() && Character.isWhitespace(prompt.charAt(position))) {
 			position++;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PrefixHints.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PrefixHints.java
@@ -14,47 +14,47 @@
 	 * The number of blocks stored, about as many as a backend server caches; a power of
 	 * two.
 	 */
-	private static final int SIZE = 2_048;
+	private static final int CAPACITY = 2_048;
 
 	/** The smoothing factor of the accuracy. */
-	private static final double NEWEST = 0.1;
+	private static final double SMOOTHING_FACTOR = 0.1;
 
 	/** The minimum accuracy; hints stay in use so that the accuracy can recover. */
-	private static final double LEAST_TRUST = 0.2;
+	private static final double MIN_ACCURACY = 0.2;
 
 	private long[] blocks = {};
 
-	private double trust = 1;
+	private double accuracy = 1;
 
 	// -- changes
 
 	void add(long block) {
 		if (this.blocks.length == 0) {
-			this.blocks = new long[SIZE];
+			this.blocks = new long[CAPACITY];
 		}
-		this.blocks[place(block)] = block;
+		this.blocks[index(block)] = block;
 	}
 
-	void addAll(long[] prompt) {
-		for (long block : prompt) {
+	void addAll(long[] promptBlocks) {
+		for (long block : promptBlocks) {
 			add(block);
 		}
 	}
 
 	// Earlier cache events may be missing, so blocks that are not listed stay unchanged.
-	void reported(List<Long> added, List<Long> removed) {
+	void applyCacheEvents(List<Long> added, List<Long> removed) {
 		added.forEach(this::add);
 		for (Long block : removed) {
 			if (contains(block)) {
-				this.blocks[place(block)] = 0;
+				this.blocks[index(block)] = 0;
 			}
 		}
 	}
 
-	void cameTrue(int predicted, int actual) {
-		if (predicted > 0) {
-			double share = Math.min(1, (double) actual / predicted);
-			this.trust = Math.max(LEAST_TRUST, this.trust + NEWEST * (share - this.trust));
+	void recordOutcome(int hintedTokens, int cachedTokens) {
+		if (hintedTokens > 0) {
+			double cachedFraction = Math.min(1, (double) cachedTokens / hintedTokens);
+			this.accuracy = Math.max(MIN_ACCURACY, this.accuracy + SMOOTHING_FACTOR * (cachedFraction - this.accuracy));
 		}
 	}
 
@@ -63,14 +63,14 @@
 	// Returns the expected number of leading blocks in the cache. The cache keeps a block
 	// only together with the preceding blocks, so the deepest block found determines the
 	// number.
-	double cachedBlocks(long[] prompt) {
-		return this.trust * believedBlocks(prompt);
+	double expectedBlocks(long[] promptBlocks) {
+		return this.accuracy * hintedBlocks(promptBlocks);
 	}
 
-	int believedBlocks(long[] prompt) {
+	int hintedBlocks(long[] promptBlocks) {
 		if (this.blocks.length > 0) {
-			for (int i = prompt.length - 1; i >= 0; i--) {
-				if (contains(prompt[i])) {
+			for (int i = promptBlocks.length - 1; i >= 0; i--) {
+				if (contains(promptBlocks[i])) {
 					return i + 1;
 				}
 			}
@@ -79,11 +79,11 @@
 	}
 
 	private boolean contains(long block) {
-		return this.blocks.length > 0 && this.blocks[place(block)] == block;
+		return this.blocks.length > 0 && this.blocks[index(block)] == block;
 	}
 
-	private static int place(long block) {
-		return (int) (block ^ (block >>> 32)) & (SIZE - 1);
+	private static int index(long block) {
+		return (int) (block ^ (block >>> 32)) & (CAPACITY - 1);
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RateMeter.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RateMeter.java
@@ -6,28 +6,28 @@
 	/**
 	 * The time constant, after which an event counts for about a third, in nanoseconds.
 	 */
-	private final double windowNanos;
+	private final double timeConstantNanos;
 
-	private double weight;
+	private double decayedCount;
 
 	private long lastNanos;
 
-	RateMeter(double windowNanos) {
-		this.windowNanos = windowNanos;
+	RateMeter(double timeConstantNanos) {
+		this.timeConstantNanos = timeConstantNanos;
 	}
 
-	void count(long nowNanos) {
-		this.weight = decayed(nowNanos) + 1;
+	void recordEvent(long nowNanos) {
+		this.decayedCount = decayedCountAt(nowNanos) + 1;
 		this.lastNanos = nowNanos;
 	}
 
 	// Returns the number of events per nanosecond.
 	double perNano(long nowNanos) {
-		return decayed(nowNanos) / this.windowNanos;
+		return decayedCountAt(nowNanos) / this.timeConstantNanos;
 	}
 
-	private double decayed(long nowNanos) {
-		return this.weight * Math.exp((this.lastNanos - nowNanos) / this.windowNanos);
+	private double decayedCountAt(long nowNanos) {
+		return this.decayedCount * Math.exp((this.lastNanos - nowNanos) / this.timeConstantNanos);
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Request.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Request.java
@@ -30,7 +30,7 @@
 	 * The affinity key: a hash of the organisation, the model or adapter and the first
 	 * prompt blocks.
 	 */
-	final long key;
+	final long affinityKey;
 
 	/** Whether a peer accepted the request and handed it over. */
 	final boolean adopted;
@@ -50,13 +50,13 @@
 	int reroutes;
 
 	/** Refusals and connection failures since the last token. */
-	int breakages;
+	int failuresSinceToken;
 
 	/** The earliest time of the next dispatch, on the monotonic clock, in nanoseconds. */
-	long notBeforeNanos;
+	long earliestDispatchNanos;
 
 	/** The server to avoid because the last attempt failed there, or null. */
-	VmId avoid;
+	VmId avoidedServer;
 
 	/** The attempt whose server still has the KV cache, or null. */
 	Attempt cacheSource;
@@ -68,30 +68,30 @@
 		this.id = id;
 		this.spec = spec;
 		this.arrivedNanos = arrivedNanos;
-		this.notBeforeNanos = arrivedNanos;
+		this.earliestDispatchNanos = arrivedNanos;
 		this.blocks = spec.prefixBlocks().stream().mapToLong(Long::longValue).toArray();
-		this.key = key(spec, this.blocks, affinityBlocks);
+		this.affinityKey = affinityKey(spec, this.blocks, affinityBlocks);
 		this.adopted = adopted;
 		this.emittedTokens = emittedTokens;
 	}
 
-	private static long key(RequestSpec spec, long[] blocks, int affinityBlocks) {
-		int depth = Math.min(affinityBlocks, blocks.length);
+	private static long affinityKey(RequestSpec spec, long[] blocks, int affinityBlocks) {
+		int keyBlocks = Math.min(affinityBlocks, blocks.length);
 		return Hashing.wyhashFinal4()
 			.hashStream()
 			.putString(spec.organisation())
 			.putString(spec.model())
-			.putLong((depth > 0) ? blocks[depth - 1] : 0)
+			.putLong((keyBlocks > 0) ? blocks[keyBlocks - 1] : 0)
 			.getAsLong();
 	}
 
 	// Whether work on the request was started, here or at a peer, so that it must be
 	// finished.
-	boolean begun() {
+	boolean isStarted() {
 		return this.adopted || this.dispatches > 0;
 	}
 
-	boolean chat() {
+	boolean isChat() {
 		return this.spec.priority() == Priority.CHAT;
 	}
 
@@ -102,7 +102,7 @@
 	}
 
 	// Returns the number of tokens charged to the share of the organisation.
-	long weightTokens() {
+	long chargedTokens() {
 		return Math.min(SLOT_TOKENS, this.spec.maxTokens());
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RequestSpec.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RequestSpec.java
@@ -15,14 +15,15 @@
  * @param promptTokens the estimated length of the prompt, in tokens
  * @param maxTokens the maximum length of the answer, in tokens
  * @param prefixBlocks the chained hashes of the prompt's full blocks, first block first
- * @param firstTokenNanos the deadline of the first token, on the monotonic clock, in
- * nanoseconds
+ * @param firstTokenDeadlineNanos the deadline of the first token, on the monotonic clock,
+ * in nanoseconds
  * @param betweenTokensNanos the maximum time between two tokens, in nanoseconds
  * @param answerNanos the deadline of the last token, on the monotonic clock, in
  * nanoseconds
  */
 public record RequestSpec(String organisation, String pool, String model, Priority priority, int promptTokens,
-		int maxTokens, List<Long> prefixBlocks, long firstTokenNanos, long betweenTokensNanos, long answerNanos) {
+		int maxTokens, List<Long> prefixBlocks, long firstTokenDeadlineNanos, long betweenTokensNanos,
+		long answerNanos) {
 
 	public RequestSpec {
 		Objects.requireNonNull(organisation, "organisation is null");
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ReroutingSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ReroutingSystem.java
@@ -22,13 +22,13 @@
 	/**
 	 * The number of engine steps after which an attempt is assumed to wait in a queue.
 	 */
-	private static final double STEPS = 2.5;
+	private static final double MAX_ACCEPT_STEPS = 2.5;
 
 	/** How long a server is treated as full, in nanoseconds. */
-	private static final long FULL_NANOS = 300_000_000;
+	private static final long FULL_DURATION_NANOS = 300_000_000;
 
 	/** The maximum number of times that a request is sent to another server. */
-	private static final int LIMIT = 4;
+	private static final int MAX_REROUTES = 4;
 
 	private final Router router;
 
@@ -41,26 +41,26 @@
 		if (!state.has(ServingFeature.REROUTING)) {
 			return;
 		}
-		double patience = LATENCY_NANOS + STEPS * state.estimates.stepNanos();
-		Iterator<Attempt> oldest = state.attempts.unaccepted().iterator();
-		List<Attempt> waiting = new ArrayList<>();
-		while (oldest.hasNext()) {
-			Attempt attempt = oldest.next();
-			if (nowNanos - attempt.dispatchedNanos < patience) {
+		double acceptTimeoutNanos = LATENCY_NANOS + MAX_ACCEPT_STEPS * state.estimates.stepNanos();
+		Iterator<Attempt> unaccepted = state.attempts.unaccepted().iterator();
+		List<Attempt> queued = new ArrayList<>();
+		while (unaccepted.hasNext()) {
+			Attempt attempt = unaccepted.next();
+			if (nowNanos - attempt.dispatchedNanos < acceptTimeoutNanos) {
 				break;
 			}
-			oldest.remove();
-			waiting.add(attempt);
+			unaccepted.remove();
+			queued.add(attempt);
 		}
-		waiting.forEach((attempt) -> reroute(state, attempt, nowNanos));
+		queued.forEach((attempt) -> reroute(state, attempt, nowNanos));
 	}
 
 	private void reroute(ServingState state, Attempt attempt, long nowNanos) {
 		Request request = attempt.request;
 		boolean movable = attempt.mode instanceof ServingCommand.Mode.Fresh
 				|| attempt.mode instanceof ServingCommand.Mode.Replay;
-		attempt.server.fullUntilNanos = nowNanos + FULL_NANOS;
-		if (!movable || !request.chat() || request.reroutes >= LIMIT) {
+		attempt.server.fullUntilNanos = nowNanos + FULL_DURATION_NANOS;
+		if (!movable || !request.isChat() || request.reroutes >= MAX_REROUTES) {
 			return;
 		}
 		Optional<Router.Choice> choice = this.router.choose(state, request, nowNanos);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RetryBudget.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RetryBudget.java
@@ -8,34 +8,35 @@
 final class RetryBudget {
 
 	/** The number of retries allowed per second without any new requests. */
-	private static final double PER_SECOND = 4;
+	private static final double REFILL_PER_SECOND = 4;
 
-	private final double share;
+	private final double retriesPerDispatch;
 
-	private final double burst;
+	private final double maxTokens;
 
 	private double tokens;
 
-	private long refilledNanos = Long.MIN_VALUE;
+	private long lastRefillNanos = Long.MIN_VALUE;
 
-	RetryBudget(double share, double burst) {
-		this.share = share;
-		this.burst = burst;
-		this.tokens = burst;
+	RetryBudget(double retriesPerDispatch, double maxTokens) {
+		this.retriesPerDispatch = retriesPerDispatch;
+		this.maxTokens = maxTokens;
+		this.tokens = maxTokens;
 	}
 
-	void fresh() {
-		this.tokens = Math.min(this.burst, this.tokens + this.share);
+	void recordFirstDispatch() {
+		this.tokens = Math.min(this.maxTokens, this.tokens + this.retriesPerDispatch);
 	}
 
 	// Takes one retry from the budget and returns how long it must wait, in nanoseconds.
 	long take(long nowNanos) {
-		if (this.refilledNanos != Long.MIN_VALUE) {
-			this.tokens = Math.min(this.burst, this.tokens + PER_SECOND * (nowNanos - this.refilledNanos) / 1e9);
+		if (this.lastRefillNanos != Long.MIN_VALUE) {
+			this.tokens = Math.min(this.maxTokens,
+					this.tokens + REFILL_PER_SECOND * (nowNanos - this.lastRefillNanos) / 1e9);
 		}
-		this.refilledNanos = nowNanos;
+		this.lastRefillNanos = nowNanos;
 		this.tokens -= 1;
-		return (this.tokens >= 0) ? 0 : (long) (-this.tokens * 1e9 / PER_SECOND);
+		return (this.tokens >= 0) ? 0 : (long) (-this.tokens * 1e9 / REFILL_PER_SECOND);
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Router.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Router.java
@@ -7,27 +7,27 @@
 final class Router {
 
 	/** The slots per server that summaries leave free for chat. */
-	private static final double CHAT_SLOTS = 2;
+	private static final double CHAT_RESERVED_SLOTS = 2;
 
 	private final Candidates candidates = new Candidates();
 
-	private final double[] paces = new double[Candidates.COUNT];
+	private final double[] tokenTimes = new double[Candidates.MAX_COUNT];
 
 	// Returns the server with the lowest cost, or empty if none has room.
 	Optional<Choice> choose(ServingState state, Request request, long nowNanos) {
-		this.candidates.find(state.servers.pool(request.spec.pool()), request.key, state.random);
-		Server home = this.candidates.home(request.key);
-		RoutingCost cost = new RoutingCost(state, request, home, meanOthers(state), meanStreams(), medianTokenNanos(),
-				nowNanos);
-		double depth = depth(state, request, nowNanos);
+		this.candidates.find(state.servers.pool(request.spec.pool()), request.affinityKey, state.random);
+		Server home = this.candidates.home(request.affinityKey);
+		RoutingCost cost = new RoutingCost(state, request, home, meanOtherStreams(state), meanStreams(),
+				medianTokenNanos(), nowNanos);
+		double streamLimit = streamLimit(state, request, nowNanos);
 		Server best = null;
-		double least = Double.MAX_VALUE;
+		double lowestCost = Double.MAX_VALUE;
 		for (int i = 0; i < this.candidates.count(); i++) {
 			Server server = this.candidates.get(i);
-			double price = cost.of(server);
-			if (price < least && server.streams() < depth) {
+			double serverCost = cost.totalCost(server);
+			if (serverCost < lowestCost && server.streams() < streamLimit) {
 				best = server;
-				least = price;
+				lowestCost = serverCost;
 			}
 		}
 		return Optional.ofNullable(best)
@@ -37,22 +37,22 @@
 	// Returns the median time between tokens over the candidates, or 0 if none was
 	// measured.
 	private double medianTokenNanos() {
-		int known = 0;
+		int measured = 0;
 		for (int i = 0; i < this.candidates.count(); i++) {
 			double nanos = this.candidates.get(i).tokenNanos;
 			if (nanos > 0) {
-				this.paces[known++] = nanos;
+				this.tokenTimes[measured++] = nanos;
 			}
 		}
-		Arrays.sort(this.paces, 0, known);
-		return (known > 0) ? this.paces[known / 2] : 0;
+		Arrays.sort(this.tokenTimes, 0, measured);
+		return (measured > 0) ? this.tokenTimes[measured / 2] : 0;
 	}
 
-	private double meanOthers(ServingState state) {
+	private double meanOtherStreams(ServingState state) {
 		double sum = 0;
 		if (state.has(ServingFeature.LOAD_REPORTS)) {
 			for (int i = 0; i < this.candidates.count(); i++) {
-				sum += this.candidates.get(i).load.others();
+				sum += this.candidates.get(i).load.otherStreams();
 			}
 		}
 		return sum / Math.max(1, this.candidates.count());
@@ -69,26 +69,27 @@
 	// Returns the number of streams below which a server has room for the request. A
 	// summary leaves slots free for chat, which would otherwise have to wait for the end
 	// of a long answer, until half of the summary's time to the first token has passed.
-	private static double depth(ServingState state, Request request, long nowNanos) {
-		if (!state.has(ServingFeature.PRIORITIES) || request.chat() || request.begun()) {
+	private static double streamLimit(ServingState state, Request request, long nowNanos) {
+		if (!state.has(ServingFeature.PRIORITIES) || request.isChat() || request.isStarted()) {
 			return Double.MAX_VALUE;
 		}
-		if (state.summariesRunning >= SummaryLimit.of(state, request.spec.pool(), nowNanos)) {
+		if (state.summariesRunning >= SummaryLimit.maxRunning(state, request.spec.pool(), nowNanos)) {
 			return 0;
 		}
-		boolean early = nowNanos - request.arrivedNanos < (request.spec.firstTokenNanos() - request.arrivedNanos) / 2;
-		return state.slots(request.spec.pool()) - (early ? CHAT_SLOTS : 0);
+		boolean slotsReserved = nowNanos
+				- request.arrivedNanos < (request.spec.firstTokenDeadlineNanos() - request.arrivedNanos) / 2;
+		return state.slots(request.spec.pool()) - (slotsReserved ? CHAT_RESERVED_SLOTS : 0);
 	}
 
 	/**
 	 * The chosen backend server, the reason and the prompt tokens that it is expected to
 	 * have cached.
 	 */
-	record Choice(Server server, String why, double cachedTokens) {
+	record Choice(Server server, String criterion, double cachedTokens) {
 
 		String reason() {
-			return this.why + ": " + this.server.attempts.size() + " own streams, " + (int) this.server.load.others()
-					+ " others, " + (int) this.cachedTokens + " tokens cached";
+			return this.criterion + ": " + this.server.attempts.size() + " own streams, "
+					+ (int) this.server.load.otherStreams() + " others, " + (int) this.cachedTokens + " tokens cached";
 		}
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Server.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Server.java
@@ -12,13 +12,13 @@
 final class Server {
 
 	/** The smoothing factor of the time between tokens. */
-	private static final double PACE_NEWEST = 0.02;
+	private static final double TOKEN_TIME_SMOOTHING_FACTOR = 0.02;
 
 	/**
 	 * The time constant of the decay of a measured time between tokens without new
 	 * measurements, in nanoseconds.
 	 */
-	private static final double PACE_MEMORY_NANOS = 30e9;
+	private static final double TOKEN_TIME_DECAY_NANOS = 30e9;
 
 	final VmId id;
 
@@ -31,7 +31,7 @@
 	Phase phase = Phase.LIVE;
 
 	/** The expected termination time of its VM, {@link Long#MAX_VALUE} if unknown. */
-	long goneAtNanos = Long.MAX_VALUE;
+	long terminationNanos = Long.MAX_VALUE;
 
 	/** The attempts of this process that run there, oldest first. */
 	final Map<AttemptId, Attempt> attempts = new LinkedHashMap<>();
@@ -58,7 +58,7 @@
 	double tokenNanos;
 
 	/** The time at which the time between tokens was last measured. */
-	long measuredNanos;
+	long tokenTimeMeasuredNanos;
 
 	/** The connection failures since the last accepted attempt. */
 	int failures;
@@ -79,23 +79,26 @@
 	// Returns the number of streams that run there, those of other processes as last
 	// reported.
 	double streams() {
-		return this.attempts.size() + this.load.others();
+		return this.attempts.size() + this.load.otherStreams();
 	}
 
-	void paced(int tokens, long nanos, long nowNanos) {
-		double pace = (double) nanos / tokens;
-		this.tokenNanos = (this.tokenNanos > 0) ? this.tokenNanos + PACE_NEWEST * (pace - this.tokenNanos) : pace;
-		this.measuredNanos = nowNanos;
+	void recordTokens(int tokens, long nanos, long nowNanos) {
+		double measuredTokenNanos = (double) nanos / tokens;
+		this.tokenNanos = (this.tokenNanos > 0)
+				? this.tokenNanos + TOKEN_TIME_SMOOTHING_FACTOR * (measuredTokenNanos - this.tokenNanos)
+				: measuredTokenNanos;
+		this.tokenTimeMeasuredNanos = nowNanos;
 	}
 
 	// Returns the time between tokens. Without new measurements it decays to the typical
 	// value, so that a server that received less work is tried again.
-	double tokenNanos(long nowNanos, double usualNanos) {
-		double known = (this.tokenNanos > 0) ? Math.exp((this.measuredNanos - nowNanos) / PACE_MEMORY_NANOS) : 0;
-		return usualNanos + known * (this.tokenNanos - usualNanos);
+	double tokenNanos(long nowNanos, double typicalNanos) {
+		double weight = (this.tokenNanos > 0)
+				? Math.exp((this.tokenTimeMeasuredNanos - nowNanos) / TOKEN_TIME_DECAY_NANOS) : 0;
+		return typicalNanos + weight * (this.tokenNanos - typicalNanos);
 	}
 
-	boolean live() {
+	boolean isLive() {
 		return this.phase == Phase.LIVE;
 	}
 
@@ -109,7 +112,7 @@
 		LEAVING,
 
 		/** Its VM was terminated. */
-		GONE
+		TERMINATED
 
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServerLoad.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServerLoad.java
@@ -12,45 +12,45 @@
 final class ServerLoad {
 
 	/** How long an ended attempt is kept, longer than the delay of a load report. */
-	private static final long MEMORY_NANOS = 3_000_000_000L;
+	private static final long RETENTION_NANOS = 3_000_000_000L;
 
-	private final Deque<Ended> ended = new ArrayDeque<>();
+	private final Deque<EndedRun> endedRuns = new ArrayDeque<>();
 
-	private double others;
+	private double otherStreams;
 
-	private long describedNanos = Long.MIN_VALUE;
+	private long sampledNanos = Long.MIN_VALUE;
 
 	// -- changes
 
-	void attemptEnded(Attempt attempt, long nowNanos) {
-		this.ended.add(new Ended(attempt.dispatchedNanos, nowNanos));
-		while (this.ended.peek().endedNanos() < nowNanos - MEMORY_NANOS) {
-			this.ended.remove();
+	void recordEnd(Attempt attempt, long nowNanos) {
+		this.endedRuns.add(new EndedRun(attempt.dispatchedNanos, nowNanos));
+		while (this.endedRuns.peek().endedNanos() < nowNanos - RETENTION_NANOS) {
+			this.endedRuns.remove();
 		}
 	}
 
-	void reported(int streams, long describedNanos, Collection<Attempt> attempts) {
-		this.describedNanos = describedNanos;
-		long own = attempts.stream().filter((attempt) -> attempt.dispatchedNanos <= describedNanos).count();
-		own += this.ended.stream().filter((end) -> end.ranAt(describedNanos)).count();
-		this.others = Math.max(0, streams - own);
+	void applyReport(int streams, long sampledNanos, Collection<Attempt> attempts) {
+		this.sampledNanos = sampledNanos;
+		long ownStreams = attempts.stream().filter((attempt) -> attempt.dispatchedNanos <= sampledNanos).count();
+		ownStreams += this.endedRuns.stream().filter((run) -> run.wasRunningAt(sampledNanos)).count();
+		this.otherStreams = Math.max(0, streams - ownStreams);
 	}
 
 	// -- queries
 
 	// Returns the age of the state that the last report describes, or 0 without a report.
 	long ageNanos(long nowNanos) {
-		return (this.describedNanos != Long.MIN_VALUE) ? nowNanos - this.describedNanos : 0;
+		return (this.sampledNanos != Long.MIN_VALUE) ? nowNanos - this.sampledNanos : 0;
 	}
 
 	// Returns the number of streams of other processes at the time of the last report.
-	double others() {
-		return this.others;
+	double otherStreams() {
+		return this.otherStreams;
 	}
 
-	private record Ended(long dispatchedNanos, long endedNanos) {
+	private record EndedRun(long dispatchedNanos, long endedNanos) {
 
-		private boolean ranAt(long nanos) {
+		private boolean wasRunningAt(long nanos) {
 			return this.dispatchedNanos <= nanos && nanos < this.endedNanos;
 		}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServerPool.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServerPool.java
@@ -12,25 +12,25 @@
 
 	private final List<Server> live = new ArrayList<>();
 
-	private final Map<String, Integer> byZone = new HashMap<>();
+	private final Map<String, Integer> countByZone = new HashMap<>();
 
 	private HashRing ring = HashRing.of(List.of());
 
-	private boolean changed;
+	private boolean ringOutdated;
 
 	// -- changes
 
 	void add(Server server) {
 		this.live.add(server);
-		this.byZone.merge(server.zone, 1, Integer::sum);
-		this.changed = true;
+		this.countByZone.merge(server.zone, 1, Integer::sum);
+		this.ringOutdated = true;
 	}
 
 	void remove(Server server) {
 		if (this.live.remove(server)) {
-			this.byZone.merge(server.zone, -1, Integer::sum);
+			this.countByZone.merge(server.zone, -1, Integer::sum);
 		}
-		this.changed = true;
+		this.ringOutdated = true;
 	}
 
 	// -- queries
@@ -39,14 +39,14 @@
 		return this.live;
 	}
 
-	int inZone(String zone) {
-		return this.byZone.getOrDefault(zone, 0);
+	int countInZone(String zone) {
+		return this.countByZone.getOrDefault(zone, 0);
 	}
 
 	HashRing ring() {
-		if (this.changed) {
+		if (this.ringOutdated) {
 			this.ring = HashRing.of(this.live);
-			this.changed = false;
+			this.ringOutdated = false;
 		}
 		return this.ring;
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServerTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServerTable.java
@@ -16,7 +16,7 @@
 final class ServerTable {
 
 	/** The maximum number of departed VMs that are kept; the oldest are removed first. */
-	private static final int DEPARTED_LIMIT = 16_384;
+	private static final int MAX_DEPARTED = 16_384;
 
 	private final Map<VmId, Server> rows = new LinkedHashMap<>();
 
@@ -25,54 +25,54 @@
 	private final Map<VmId, Server> leaving = new LinkedHashMap<>();
 
 	/** The number of leaving servers by zone. */
-	private final Map<String, Integer> leavingByZone = new HashMap<>();
+	private final Map<String, Integer> leavingCountByZone = new HashMap<>();
 
 	private final Map<String, ServerPool> pools = new LinkedHashMap<>();
 
 	// -- changes
 
-	void seen(VmId id, String pool, String zone, String address) {
+	void addOrUpdate(VmId id, String pool, String zone, String address) {
 		if (this.departed.containsKey(id)) {
 			return;
 		}
-		Server known = this.rows.get(id);
-		if (known == null) {
+		Server existing = this.rows.get(id);
+		if (existing == null) {
 			Server server = new Server(id, pool, zone, address);
 			this.rows.put(id, server);
 			this.pools.computeIfAbsent(pool, (_) -> new ServerPool()).add(server);
 		}
 		else {
-			known.address = address;
+			existing.address = address;
 		}
 	}
 
-	void leaving(VmId id, long goneAtNanos) {
-		depart(id);
+	void markLeaving(VmId id, long terminationNanos) {
+		markDeparted(id);
 		Server server = this.rows.get(id);
 		if (server != null) {
 			server.phase = Server.Phase.LEAVING;
-			server.goneAtNanos = Math.min(server.goneAtNanos, goneAtNanos);
+			server.terminationNanos = Math.min(server.terminationNanos, terminationNanos);
 			if (this.leaving.put(id, server) == null) {
-				this.leavingByZone.merge(server.zone, 1, Integer::sum);
+				this.leavingCountByZone.merge(server.zone, 1, Integer::sum);
 			}
 		}
 	}
 
-	void gone(VmId id) {
-		depart(id);
+	void removeTerminated(VmId id) {
+		markDeparted(id);
 		Server server = this.rows.remove(id);
 		if (this.leaving.remove(id) != null) {
-			this.leavingByZone.merge(server.zone, -1, Integer::sum);
+			this.leavingCountByZone.merge(server.zone, -1, Integer::sum);
 		}
 		if (server != null) {
-			server.phase = Server.Phase.GONE;
+			server.phase = Server.Phase.TERMINATED;
 		}
 	}
 
-	private void depart(VmId id) {
+	private void markDeparted(VmId id) {
 		if (this.departed.put(id, true) == null) {
 			Optional.ofNullable(this.rows.get(id)).ifPresent((server) -> this.pools.get(server.pool).remove(server));
-			if (this.departed.size() > DEPARTED_LIMIT) {
+			if (this.departed.size() > MAX_DEPARTED) {
 				this.departed.remove(this.departed.keySet().iterator().next());
 			}
 		}
@@ -90,9 +90,9 @@
 
 	// Whether most servers in the zone of the server are leaving; the remaining ones are
 	// likely to follow.
-	boolean zoneLeaves(Server server) {
-		int leavingThere = this.leavingByZone.getOrDefault(server.zone, 0);
-		return leavingThere > 0 && leavingThere > pool(server.pool).inZone(server.zone);
+	boolean isZoneLeaving(Server server) {
+		int leavingInZone = this.leavingCountByZone.getOrDefault(server.zone, 0);
+		return leavingInZone > 0 && leavingInZone > pool(server.pool).countInZone(server.zone);
 	}
 
 	// Returns the servers that accept no new work and finish their streams.
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingParameters.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingParameters.java
@@ -20,12 +20,12 @@
  * second
  * @param noticeMarginNanos the part of a reclaim notice that is not relied on, in
  * nanoseconds
- * @param retryShare the retries allowed per first dispatch
+ * @param retriesPerDispatch the retries allowed per first dispatch
  * @param retryBurst the retries allowed in one burst after a time without retries
  */
 public record ServingParameters(String zone, Set<ServingFeature> features, int requestLimit, int affinityBlocks,
 		double prefillTokensPerSecond, long tokenNanos, double exportTokensPerSecond, long noticeMarginNanos,
-		double retryShare, double retryBurst) {
+		double retriesPerDispatch, double retryBurst) {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -56,7 +56,7 @@
 	public ServingParameters withFeatures(Set<ServingFeature> features) {
 		return new ServingParameters(this.zone, features, this.requestLimit, this.affinityBlocks,
 				this.prefillTokensPerSecond, this.tokenNanos, this.exportTokensPerSecond, this.noticeMarginNanos,
-				this.retryShare, this.retryBurst);
+				this.retriesPerDispatch, this.retryBurst);
 	}
 
 	// -- queries
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingState.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingState.java
@@ -19,9 +19,9 @@
  */
 final class ServingState {
 
-	private static final double SHORT_NANOS = 2e9;
+	private static final double SUMMARY_RATE_WINDOW_NANOS = 2e9;
 
-	private static final double LONG_NANOS = 10e9;
+	private static final double CHAT_RATE_WINDOW_NANOS = 10e9;
 
 	final ServingParameters parameters;
 
@@ -40,10 +40,10 @@
 	final RetryBudget retryBudget;
 
 	/** The rate at which this process dispatches summaries to backend servers. */
-	final RateMeter summaryStarts = new RateMeter(SHORT_NANOS);
+	final RateMeter summaryStarts = new RateMeter(SUMMARY_RATE_WINDOW_NANOS);
 
 	/** The rate at which this process receives chats, including refused ones. */
-	final RateMeter chatArrivals = new RateMeter(LONG_NANOS);
+	final RateMeter chatArrivals = new RateMeter(CHAT_RATE_WINDOW_NANOS);
 
 	/** The number of summaries of this process that run on backend servers. */
 	int summariesRunning;
@@ -51,7 +51,7 @@
 	/**
 	 * Attempts that ended before the whole answer was received and still need a decision.
 	 */
-	final List<EndedAttempt> ended = new ArrayList<>();
+	final List<FailedAttempt> failedAttempts = new ArrayList<>();
 
 	private final Map<String, Pool> pools = new HashMap<>();
 
@@ -69,16 +69,16 @@
 		this.parameters = parameters;
 		this.random = new SplittableRandom(seed);
 		this.estimates = new WorkEstimates(parameters);
-		this.retryBudget = new RetryBudget(parameters.retryShare(), parameters.retryBurst());
+		this.retryBudget = new RetryBudget(parameters.retriesPerDispatch(), parameters.retryBurst());
 	}
 
 	// -- configuration
 
-	void apply(Configuration next) {
-		this.configuration = next;
+	void apply(Configuration configuration) {
+		this.configuration = configuration;
 		this.pools.clear();
-		this.shares.configured(next.all(Organisation.class).toList());
-		next.all(Pool.class).forEach((pool) -> this.pools.put(pool.name(), pool));
+		this.shares.applyOrganisations(configuration.all(Organisation.class).toList());
+		configuration.all(Pool.class).forEach((pool) -> this.pools.put(pool.name(), pool));
 	}
 
 	boolean has(ServingFeature feature) {
@@ -91,16 +91,16 @@
 	}
 
 	int slots(String pool) {
-		Pool declared = pool(pool);
-		return (declared != null) ? Math.max(1, declared.slotsPerServer()) : 1;
+		Pool configuredPool = pool(pool);
+		return (configuredPool != null) ? Math.max(1, configuredPool.slotsPerServer()) : 1;
 	}
 
 	// -- requests
 
 	void open(Request request) {
 		this.requests.add(request);
-		if (request.chat()) {
-			this.chatArrivals.count(request.arrivedNanos);
+		if (request.isChat()) {
+			this.chatArrivals.recordEvent(request.arrivedNanos);
 		}
 		this.shares.add(request);
 	}
@@ -113,14 +113,14 @@
 	// -- commands
 
 	// Cancels the stream of an attempt that has already ended here.
-	void cancelStream(Attempt ended, String reason) {
-		this.commands.add(new ServingCommand.Cancel(ended.request.id, ended.id, reason));
+	void cancelStream(Attempt endedAttempt, String reason) {
+		this.commands.add(new ServingCommand.Cancel(endedAttempt.request.id, endedAttempt.id, reason));
 	}
 
 	void end(Attempt attempt, long nowNanos) {
 		this.attempts.remove(attempt);
-		this.summariesRunning -= attempt.request.chat() ? 0 : 1;
-		attempt.server.load.attemptEnded(attempt, nowNanos);
+		this.summariesRunning -= attempt.request.isChat() ? 0 : 1;
+		attempt.server.load.recordEnd(attempt, nowNanos);
 	}
 
 	void cancel(Attempt attempt, String reason, long nowNanos) {
@@ -135,20 +135,20 @@
 	// invariant is checked here because all paths share this method.
 	void dispatch(Request request, Server server, ServingCommand.Mode mode, String reason, long nowNanos) {
 		boolean reattach = mode instanceof ServingCommand.Mode.Reattach;
-		if (!reattach && !server.live()) {
+		if (!reattach && !server.isLive()) {
 			this.violations.add("new work to leaving server " + server.id + " for " + request.id);
 		}
 		AttemptId id = new AttemptId(request.id + "." + Long.toHexString(this.random.nextLong()));
 		AttemptId stream = (mode instanceof ServingCommand.Mode.Reattach(AttemptId earlier)) ? earlier : id;
 		this.attempts.add(new Attempt(id, stream, request, server, mode, nowNanos));
-		this.summariesRunning += request.chat() ? 0 : 1;
+		this.summariesRunning += request.isChat() ? 0 : 1;
 		server.hints.addAll(request.blocks);
 		this.requests.move(request, Request.Phase.RUNNING);
 		request.dispatches++;
 		if (request.dispatches == 1) {
-			this.retryBudget.fresh();
-			if (!request.chat()) {
-				this.summaryStarts.count(nowNanos);
+			this.retryBudget.recordFirstDispatch();
+			if (!request.isChat()) {
+				this.summaryStarts.recordEvent(nowNanos);
 			}
 		}
 		this.commands.add(new ServingCommand.Dispatch(request.id, id, server.id, server.address, mode, reason));
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Shares.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Shares.java
@@ -16,11 +16,11 @@
 	 * with random arrivals the number of slots in use varies by about the square root of
 	 * its mean.
 	 */
-	private static final double TOLERANCE = 2;
+	private static final double TOLERANCE_DEVIATIONS = 2;
 
-	private final Map<String, Long> own = new HashMap<>();
+	private final Map<String, Long> localTokens = new HashMap<>();
 
-	private Map<String, Long> peers = Map.of();
+	private Map<String, Long> peerTokens = Map.of();
 
 	private Map<String, Double> weights = Map.of();
 
@@ -28,43 +28,46 @@
 
 	// -- changes
 
-	void configured(Iterable<Organisation> organisations) {
-		Map<String, Double> next = new HashMap<>();
-		organisations.forEach((organisation) -> next.put(organisation.name(), Math.max(1e-3, organisation.share())));
-		this.weights = next;
-		this.weightSum = next.values().stream().mapToDouble(Double::doubleValue).sum();
+	void applyOrganisations(Iterable<Organisation> organisations) {
+		Map<String, Double> weightsByName = new HashMap<>();
+		organisations
+			.forEach((organisation) -> weightsByName.put(organisation.name(), Math.max(1e-3, organisation.share())));
+		this.weights = weightsByName;
+		this.weightSum = weightsByName.values().stream().mapToDouble(Double::doubleValue).sum();
 	}
 
-	void reported(Map<String, Long> tokens) {
-		this.peers = Map.copyOf(tokens);
+	void applyPeerReport(Map<String, Long> tokens) {
+		this.peerTokens = Map.copyOf(tokens);
 	}
 
 	void add(Request request) {
-		this.own.merge(request.spec.organisation(), request.weightTokens(), Long::sum);
+		this.localTokens.merge(request.spec.organisation(), request.chargedTokens(), Long::sum);
 	}
 
 	void remove(Request request) {
-		this.own.computeIfPresent(request.spec.organisation(), (_, tokens) -> {
-			long left = tokens - request.weightTokens();
-			return (left > 0) ? left : null;
+		this.localTokens.computeIfPresent(request.spec.organisation(), (_, tokens) -> {
+			long remaining = tokens - request.chargedTokens();
+			return (remaining > 0) ? remaining : null;
 		});
 	}
 
 	// -- queries
 
-	Map<String, Long> own() {
-		return Map.copyOf(this.own);
+	Map<String, Long> localTokens() {
+		return Map.copyOf(this.localTokens);
 	}
 
 	// Whether an organisation uses clearly more than its share of all slots.
-	boolean over(String organisation, double slots) {
-		double part = weight(organisation) / Math.max(this.weightSum, weight(organisation));
-		double own = part * slots;
-		return tokens(organisation) / Request.SLOT_TOKENS > own + TOLERANCE * Math.sqrt(own);
+	boolean exceedsShare(String organisation, double slots) {
+		double fraction = weight(organisation) / Math.max(this.weightSum, weight(organisation));
+		double fairSlots = fraction * slots;
+		return totalTokens(organisation) / Request.SLOT_TOKENS > fairSlots
+				+ TOLERANCE_DEVIATIONS * Math.sqrt(fairSlots);
 	}
 
-	private double tokens(String organisation) {
-		return (double) this.own.getOrDefault(organisation, 0L) + this.peers.getOrDefault(organisation, 0L);
+	private double totalTokens(String organisation) {
+		return (double) this.localTokens.getOrDefault(organisation, 0L)
+				+ this.peerTokens.getOrDefault(organisation, 0L);
 	}
 
 	private double weight(String organisation) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/SummaryLimit.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/SummaryLimit.java
@@ -11,7 +11,7 @@
 	/**
 	 * The minimum fraction of all slots for summaries, so that chat does not starve them.
 	 */
-	private static final double LEAST_SHARE = 0.1;
+	private static final double MIN_SLOT_FRACTION = 0.1;
 
 	/** The factor by which chats are assumed to need more slots than their mean. */
 	private static final double CHAT_MARGIN = 1.1;
@@ -19,17 +19,17 @@
 	private SummaryLimit() {
 	}
 
-	static double of(ServingState state, String pool, long nowNanos) {
+	static double maxRunning(ServingState state, String pool, long nowNanos) {
 		double slots = (double) state.servers.pool(pool).live().size() * state.slots(pool) / state.livePeers;
-		double chats = state.chatArrivals.perNano(nowNanos) * state.estimates.answerNanos(Priority.CHAT);
-		return Math.max(LEAST_SHARE * slots, slots - CHAT_MARGIN * chats);
+		double expectedChats = state.chatArrivals.perNano(nowNanos) * state.estimates.answerNanos(Priority.CHAT);
+		return Math.max(MIN_SLOT_FRACTION * slots, slots - CHAT_MARGIN * expectedChats);
 	}
 
 	// Returns the number of summaries that can start per nanosecond: the recent rate, or
 	// the rate that the limit allows if few summaries were waiting to start.
-	static double startsPerNano(ServingState state, String pool, long nowNanos) {
-		double allowed = of(state, pool, nowNanos) / state.estimates.answerNanos(Priority.SUMMARY);
-		return Math.max(allowed, state.summaryStarts.perNano(nowNanos));
+	static double maxStartsPerNano(ServingState state, String pool, long nowNanos) {
+		double allowedRate = maxRunning(state, pool, nowNanos) / state.estimates.answerNanos(Priority.SUMMARY);
+		return Math.max(allowedRate, state.summaryStarts.perNano(nowNanos));
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/TableServingDecisions.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/TableServingDecisions.java
@@ -9,14 +9,14 @@
 
 	private final ServingState state;
 
-	private final EventIntake intake;
+	private final EventHandler eventHandler;
 
 	private final List<ServingSystem> systems;
 
 	private TableServingDecisions(ServingState state, Router router) {
 		this.state = state;
-		this.intake = new EventIntake(state);
-		this.systems = List.of(new BreakageSystem(), new DepartureSystem(router), new ExpirySystem(),
+		this.eventHandler = new EventHandler(state);
+		this.systems = List.of(new BreakageSystem(), new EvacuationSystem(router), new ExpirySystem(),
 				new AdmissionSystem(), new ReroutingSystem(router), new RoutingSystem(router));
 	}
 
@@ -29,7 +29,7 @@
 
 	@Override
 	public void accept(ServingEvent event, long nowNanos) {
-		this.intake.accept(Objects.requireNonNull(event, "event is null"), nowNanos);
+		this.eventHandler.accept(Objects.requireNonNull(event, "event is null"), nowNanos);
 	}
 
 	@Override
@@ -45,7 +45,7 @@
 
 	@Override
 	public Map<String, Long> tokensInFlight() {
-		return this.state.shares.own();
+		return this.state.shares.localTokens();
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/WorkEstimates.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/WorkEstimates.java
@@ -9,24 +9,24 @@
 final class WorkEstimates {
 
 	/** The smoothing factor of all means. */
-	private static final double NEWEST = 0.05;
+	private static final double SMOOTHING_FACTOR = 0.05;
 
 	/**
 	 * The minimum number of computed tokens for a measurement; fewer tokens take the time
 	 * of one engine step, whatever their number.
 	 */
-	private static final int LEAST_COMPUTED = 256;
+	private static final int MIN_COMPUTED_TOKENS = 256;
 
 	/** The duration of an answer until one was measured, in nanoseconds. */
-	private static final double FIRST_ANSWER_NANOS = 2e9;
+	private static final double INITIAL_ANSWER_NANOS = 2e9;
 
-	private final double[] lengthShare = { 1, 1 };
+	private final double[] lengthFractions = { 1, 1 };
 
 	private double tokenNanos;
 
-	private final double[] answerNanosByPriority = { FIRST_ANSWER_NANOS, FIRST_ANSWER_NANOS };
+	private final double[] answerNanosByPriority = { INITIAL_ANSWER_NANOS, INITIAL_ANSWER_NANOS };
 
-	private double answerNanos = FIRST_ANSWER_NANOS;
+	private double answerNanos = INITIAL_ANSWER_NANOS;
 
 	private double prefillTokensPerSecond;
 
@@ -37,23 +37,25 @@
 
 	// -- measurements
 
-	void answerFinished(Request request, long nanos) {
-		this.answerNanos += NEWEST * (nanos - this.answerNanos);
-		int kind = request.spec.priority().ordinal();
-		this.answerNanosByPriority[kind] += NEWEST * (nanos - this.answerNanosByPriority[kind]);
-		double share = (double) request.emittedTokens / Math.max(1, request.spec.maxTokens());
-		this.lengthShare[kind] += NEWEST * (Math.min(1, share) - this.lengthShare[kind]);
+	void recordAnswer(Request request, long nanos) {
+		this.answerNanos += SMOOTHING_FACTOR * (nanos - this.answerNanos);
+		int priorityIndex = request.spec.priority().ordinal();
+		this.answerNanosByPriority[priorityIndex] += SMOOTHING_FACTOR
+				* (nanos - this.answerNanosByPriority[priorityIndex]);
+		double lengthFraction = (double) request.emittedTokens / Math.max(1, request.spec.maxTokens());
+		this.lengthFractions[priorityIndex] += SMOOTHING_FACTOR
+				* (Math.min(1, lengthFraction) - this.lengthFractions[priorityIndex]);
 	}
 
-	void firstToken(int computedTokens, long nanos) {
-		if (computedTokens >= LEAST_COMPUTED && nanos > 0) {
+	void recordFirstToken(int computedTokens, long nanos) {
+		if (computedTokens >= MIN_COMPUTED_TOKENS && nanos > 0) {
 			double rate = computedTokens * 1e9 / nanos;
-			this.prefillTokensPerSecond += NEWEST * (rate - this.prefillTokensPerSecond);
+			this.prefillTokensPerSecond += SMOOTHING_FACTOR * (rate - this.prefillTokensPerSecond);
 		}
 	}
 
-	void tokens(int count, long nanos) {
-		this.tokenNanos += NEWEST * ((double) nanos / count - this.tokenNanos);
+	void recordTokens(int count, long nanos) {
+		this.tokenNanos += SMOOTHING_FACTOR * ((double) nanos / count - this.tokenNanos);
 	}
 
 	// -- estimates
@@ -61,11 +63,11 @@
 	// Returns the expected number of tokens in the whole answer.
 	double answerTokens(Request request) {
 		return Math.max(request.emittedTokens + 1,
-				this.lengthShare[request.spec.priority().ordinal()] * request.spec.maxTokens());
+				this.lengthFractions[request.spec.priority().ordinal()] * request.spec.maxTokens());
 	}
 
 	double answerTokens(Priority priority, int maxTokens) {
-		return this.lengthShare[priority.ordinal()] * maxTokens;
+		return this.lengthFractions[priority.ordinal()] * maxTokens;
 	}
 
 	// Returns the time to prefill tokens that are not cached, in nanoseconds.
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/PrefixBlocksTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/PrefixBlocksTests.java
@@ -19,21 +19,21 @@
 	}
 
 	@Test
-	void shouldTellModelsAndAdaptersApart() {
+	void shouldReturnDifferentHashesWhenModelOrAdapterDiffers() {
 		String prompt = words("w", 32);
 		assertThat(PrefixBlocks.of("m", "", prompt).hashes()).isNotEqualTo(PrefixBlocks.of("n", "", prompt).hashes())
 			.isNotEqualTo(PrefixBlocks.of("m", "a", prompt).hashes());
 	}
 
 	@Property(tries = 200, seed = "1")
-	void shouldShareHashesExactlyAsFarAsTheBlocksAreShared(@ForAll @IntRange(max = 200) int shared,
-			@ForAll @IntRange(min = 1, max = 100) int more) {
-		PrefixBlocks one = PrefixBlocks.of("m", "", words("s", shared) + words("a", more));
-		PrefixBlocks other = PrefixBlocks.of("m", "", words("s", shared) + words("b", more));
-		int common = shared / PrefixBlocks.BLOCK_TOKENS;
-		int full = (shared + more) / PrefixBlocks.BLOCK_TOKENS;
-		for (int i = 0; i < full; i++) {
-			assertThat(one.hashes().get(i).equals(other.hashes().get(i))).isEqualTo(i < common);
+	void shouldReturnEqualHashesOnlyForSharedBlocks(@ForAll @IntRange(max = 200) int sharedWords,
+			@ForAll @IntRange(min = 1, max = 100) int otherWords) {
+		PrefixBlocks first = PrefixBlocks.of("m", "", words("s", sharedWords) + words("a", otherWords));
+		PrefixBlocks second = PrefixBlocks.of("m", "", words("s", sharedWords) + words("b", otherWords));
+		int sharedBlocks = sharedWords / PrefixBlocks.BLOCK_TOKENS;
+		int fullBlocks = (sharedWords + otherWords) / PrefixBlocks.BLOCK_TOKENS;
+		for (int i = 0; i < fullBlocks; i++) {
+			assertThat(first.hashes().get(i).equals(second.hashes().get(i))).isEqualTo(i < sharedBlocks);
 		}
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/RecoveryMatrixTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/RecoveryMatrixTests.java
@@ -43,76 +43,76 @@
 	private long now = 1_000 * MILLI;
 
 	/** The termination times of the leaving VMs. */
-	private final Map<VmId, Long> goneAt = new HashMap<>();
+	private final Map<VmId, Long> terminationTimes = new HashMap<>();
 
 	private Dispatch current;
 
 	/** Whether the engine of the current attempt still sends tokens. */
-	private boolean alive;
+	private boolean sendsTokens;
 
-	private int emitted;
+	private int emittedTokens;
 
-	private int endings;
+	private int finalResponses;
 
 	static Stream<Arguments> cells() {
 		return Arrays.stream(Fault.values())
-			.flatMap((fault) -> Arrays.stream(Step.values()).map((step) -> Arguments.of(fault, step)));
+			.flatMap((fault) -> Arrays.stream(Stage.values()).map((stage) -> Arguments.of(fault, stage)));
 	}
 
 	@ParameterizedTest(name = "{0} at {1}")
 	@MethodSource("cells")
-	void shouldEndOnceWithTheWholeAnswer(Fault fault, Step step) {
-		reach(step);
-		strike(fault);
-		strike(fault);
+	void shouldEndExactlyOnceWithAllTokensWhenFaultOccursTwice(Fault fault, Stage stage) {
+		advanceTo(stage);
+		inject(fault);
+		inject(fault);
 		finish();
-		assertThat(this.endings).isEqualTo(1);
-		assertThat(this.emitted).isEqualTo(TOKENS);
+		assertThat(this.finalResponses).isEqualTo(1);
+		assertThat(this.emittedTokens).isEqualTo(TOKENS);
 		assertThat(this.decisions.takeViolations()).isEmpty();
 		assertThat(this.decisions.tokensInFlight()).isEmpty();
 	}
 
 	// -- stages and faults
 
-	private void reach(Step step) {
-		seen("vm-0");
+	private void advanceTo(Stage stage) {
+		addServer("vm-0");
 		accept(new ServingEvent.RequestArrived(REQUEST,
 				new RequestSpec("builder", "assistant", "plaster", Priority.CHAT, 20, 100, List.of(1L, 2L),
 						this.now + 20_000 * MILLI, 100 * MILLI, this.now + 60_000 * MILLI)));
-		seen("vm-1");
-		seen("vm-2");
-		seen("vm-3");
-		if (step == Step.ARRIVED) {
+		addServer("vm-1");
+		addServer("vm-2");
+		addServer("vm-3");
+		if (stage == Stage.ARRIVED) {
 			return;
 		}
 		tick();
-		if (step == Step.DISPATCHED) {
+		if (stage == Stage.DISPATCHED) {
 			return;
 		}
 		accept(new ServingEvent.AttemptAccepted(this.current.attempt(), 0));
-		if (step == Step.ACCEPTED) {
+		if (stage == Stage.ACCEPTED) {
 			return;
 		}
-		token();
-		if (step == Step.FIRST_TOKEN) {
+		emitToken();
+		if (stage == Stage.FIRST_TOKEN) {
 			return;
 		}
 		for (int i = 0; i < TOKENS / 2; i++) {
-			token();
+			emitToken();
 		}
-		if (step == Step.MOVING) {
-			depart(900);
+		if (stage == Stage.MOVING) {
+			announceLeaving(900);
 			tick();
 			assertThat(this.current.mode()).isInstanceOf(Mode.Import.class);
 		}
-		if (step == Step.LAST_TOKEN) {
-			while (this.emitted < TOKENS) {
-				token();
+		if (stage == Stage.LAST_TOKEN) {
+			while (this.emittedTokens < TOKENS) {
+				emitToken();
 			}
 		}
 	}
 
-	private void strike(Fault fault) {
+	private void inject(Fault fault) {
 		if (this.current == null) {
 			if (fault == Fault.SERVER_GONE) {
 				accept(new ServingEvent.ServerGone(new VmId("vm-0")));
@@ -120,44 +120,44 @@
 			tick();
 		}
 		switch (fault) {
-			case CONNECT_FAILED -> broken(Breakage.CONNECT_FAILED);
-			case CONNECTION_LOST -> broken(Breakage.CONNECTION_LOST);
+			case CONNECT_FAILED -> failConnection(Breakage.CONNECT_FAILED);
+			case CONNECTION_LOST -> failConnection(Breakage.CONNECTION_LOST);
 			case CONNECTION_LOST_WHEN_LEAVING -> {
-				depart(60_000);
-				broken(Breakage.CONNECTION_LOST);
+				announceLeaving(60_000);
+				failConnection(Breakage.CONNECTION_LOST);
 			}
-			case SILENT -> broken(Breakage.SILENT);
-			case REFUSED_LEAVING -> refused(Refusal.LEAVING);
-			case REFUSED_FULL -> refused(Refusal.FULL);
-			case REFUSED_NOT_LOADED -> refused(Refusal.NOT_LOADED);
-			case REFUSED_UNKNOWN_STREAM -> refused(Refusal.UNKNOWN_STREAM);
+			case SILENT -> failConnection(Breakage.SILENT);
+			case REFUSED_LEAVING -> refuse(Refusal.LEAVING);
+			case REFUSED_FULL -> refuse(Refusal.FULL);
+			case REFUSED_NOT_LOADED -> refuse(Refusal.NOT_LOADED);
+			case REFUSED_UNKNOWN_STREAM -> refuse(Refusal.UNKNOWN_STREAM);
 			case SERVER_GONE -> {
 				this.leaving.add(this.current.server());
-				this.alive = false;
+				this.sendsTokens = false;
 				accept(new ServingEvent.ServerGone(this.current.server()));
 			}
-			case SHORT_NOTICE -> depart(100);
-			case LONG_NOTICE -> depart(60_000);
+			case SHORT_NOTICE -> announceLeaving(100);
+			case LONG_NOTICE -> announceLeaving(60_000);
 		}
 		tick();
 	}
 
 	private void finish() {
-		for (int i = 0; i < 2_000 && this.endings == 0; i++) {
+		for (int i = 0; i < 2_000 && this.finalResponses == 0; i++) {
 			this.now += 10 * MILLI;
 			tick();
-			vanish();
-			if (!this.alive) {
+			applyTerminations();
+			if (!this.sendsTokens) {
 				continue;
 			}
-			if (this.emitted < TOKENS) {
+			if (this.emittedTokens < TOKENS) {
 				accept(new ServingEvent.AttemptAccepted(this.current.attempt(), 0));
-				token();
+				emitToken();
 			}
 			else {
-				boolean open = !this.decisions.tokensInFlight().isEmpty();
+				boolean requestOpen = !this.decisions.tokensInFlight().isEmpty();
 				accept(new ServingEvent.AttemptFinished(this.current.attempt()));
-				this.endings += (open && this.decisions.tokensInFlight().isEmpty()) ? 1 : 0;
+				this.finalResponses += (requestOpen && this.decisions.tokensInFlight().isEmpty()) ? 1 : 0;
 			}
 		}
 		tick();
@@ -165,47 +165,47 @@
 
 	// A VM sends nothing more after the end of its notice, but its connections stay open
 	// for another second.
-	private void vanish() {
-		Long end = this.goneAt.get(this.current.server());
-		if (end != null && this.now >= end) {
-			this.alive = false;
+	private void applyTerminations() {
+		Long terminationNanos = this.terminationTimes.get(this.current.server());
+		if (terminationNanos != null && this.now >= terminationNanos) {
+			this.sendsTokens = false;
 		}
-		if (end != null && this.now >= end + 1_000 * MILLI) {
-			this.goneAt.remove(this.current.server());
+		if (terminationNanos != null && this.now >= terminationNanos + 1_000 * MILLI) {
+			this.terminationTimes.remove(this.current.server());
 			accept(new ServingEvent.ServerGone(this.current.server()));
 		}
 	}
 
 	// -- events
 
-	private void broken(Breakage breakage) {
-		this.alive = false;
+	private void failConnection(Breakage breakage) {
+		this.sendsTokens = false;
 		accept(new ServingEvent.AttemptBroken(this.current.attempt(), breakage));
 	}
 
-	private void refused(Refusal refusal) {
+	private void refuse(Refusal refusal) {
 		if (refusal == Refusal.LEAVING) {
 			this.leaving.add(this.current.server());
 		}
-		this.alive = false;
+		this.sendsTokens = false;
 		accept(new ServingEvent.AttemptRefused(this.current.attempt(), refusal));
 	}
 
-	private void depart(long noticeMillis) {
+	private void announceLeaving(long noticeMillis) {
 		this.leaving.add(this.current.server());
-		this.goneAt.put(this.current.server(), this.now + noticeMillis * MILLI);
+		this.terminationTimes.put(this.current.server(), this.now + noticeMillis * MILLI);
 		accept(new ServingEvent.ServerLeaving(this.current.server(), LeavingSource.RECLAIM_NOTICE,
 				this.now + noticeMillis * MILLI));
 	}
 
 	// Like the traffic code, does not count tokens of an attempt that was replaced.
-	private void token() {
+	private void emitToken() {
 		this.now += MILLI;
-		this.emitted++;
-		accept(new ServingEvent.AttemptProgressed(this.current.attempt(), this.emitted));
+		this.emittedTokens++;
+		accept(new ServingEvent.AttemptProgressed(this.current.attempt(), this.emittedTokens));
 	}
 
-	private void seen(String server) {
+	private void addServer(String server) {
 		accept(new ServingEvent.ServerSeen(new VmId(server), "assistant", "a", server + ":80"));
 	}
 
@@ -217,24 +217,24 @@
 		this.now += MILLI;
 		for (ServingCommand command : this.decisions.tick(this.now)) {
 			switch (command) {
-				case Dispatch dispatch -> dispatched(dispatch);
+				case Dispatch dispatch -> recordDispatch(dispatch);
 				case ServingCommand.Cancel _ -> {
 				}
-				case Refuse _ -> this.endings++;
+				case Refuse _ -> this.finalResponses++;
 			}
 		}
 	}
 
-	private void dispatched(Dispatch dispatch) {
+	private void recordDispatch(Dispatch dispatch) {
 		if (!(dispatch.mode() instanceof Mode.Reattach)) {
 			assertThat(this.leaving).doesNotContain(dispatch.server());
 		}
 		this.current = dispatch;
-		this.alive = true;
+		this.sendsTokens = true;
 	}
 
 	/** The stage of the request at which the fault is injected. */
-	enum Step {
+	enum Stage {
 
 		ARRIVED, DISPATCHED, ACCEPTED, FIRST_TOKEN, MID_STREAM, MOVING, LAST_TOKEN
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/ServingDecisionsTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/ServingDecisionsTests.java
@@ -38,9 +38,9 @@
 	// -- the normal path
 
 	@Test
-	void shouldDispatchARequestAndForgetItWhenItIsFinished() {
-		seen(FIRST);
-		Dispatch dispatch = dispatched(arrive("r"));
+	void shouldDispatchRequestAndRemoveItWhenFinished() {
+		addServer(FIRST);
+		Dispatch dispatch = lastDispatch(arrive("r"));
 		assertThat(dispatch.server()).isEqualTo(FIRST);
 		assertThat(dispatch.mode()).isEqualTo(new Mode.Fresh());
 		assertThat(this.decisions.tokensInFlight()).containsEntry("builder", 100L);
@@ -52,7 +52,7 @@
 	}
 
 	@Test
-	void shouldRefuseAtOnceWhenNoServerTakesWork() {
+	void shouldRefuseImmediatelyWhenNoServerAcceptsWork() {
 		Refuse refuse = (Refuse) arrive("r").getFirst();
 		assertThat(refuse.problem().code()).isEqualTo(ProblemCode.NO_SERVER);
 		assertThat(refuse.problem().verdict()).isEqualTo(Verdict.notRun());
@@ -63,30 +63,30 @@
 	// then refused as "overloaded" on an idle pool, every retry would be refused too,
 	// because refused requests cannot correct the measured rate.
 	@Test
-	void shouldAcceptALongPromptWhenThePoolIsIdleAndEarlierOnesWereSlow() {
-		seen(FIRST);
+	void shouldAcceptLongPromptWhenPoolIsIdleAndEarlierPromptsWereSlow() {
+		addServer(FIRST);
 		for (int i = 0; i < 100; i++) {
-			Dispatch dispatch = dispatched(arrive("slow-" + i, 300));
+			Dispatch dispatch = lastDispatch(arrive("slow-" + i, 300));
 			accept(new ServingEvent.AttemptAccepted(dispatch.attempt(), 0));
 			this.now += 3_000 * MILLI;
 			accept(new ServingEvent.AttemptProgressed(dispatch.attempt(), 1));
 			accept(new ServingEvent.AttemptFinished(dispatch.attempt()));
 			tick();
 		}
-		assertThat(dispatched(arrive("long", 4_000)).server()).isEqualTo(FIRST);
+		assertThat(lastDispatch(arrive("long", 4_000)).server()).isEqualTo(FIRST);
 	}
 
 	// -- leaving backend servers
 
 	@ParameterizedTest
 	@EnumSource
-	void shouldGiveNoNewWorkToAServerThatIsLeavingEvenWhenItIsSeenAgain(LeavingSource source) {
-		seen(FIRST);
+	void shouldNotDispatchToLeavingServerWhenItIsListedAgain(LeavingSource source) {
+		addServer(FIRST);
 		accept(new ServingEvent.ServerLeaving(FIRST, source, Long.MAX_VALUE));
-		seen(FIRST);
+		addServer(FIRST);
 		assertThat(arrive("r").getFirst()).isInstanceOf(Refuse.class);
-		seen(SECOND);
-		assertThat(dispatched(arrive("s")).server()).isEqualTo(SECOND);
+		addServer(SECOND);
+		assertThat(lastDispatch(arrive("s")).server()).isEqualTo(SECOND);
 		assertThat(this.decisions.takeViolations()).isEmpty();
 	}
 
@@ -95,22 +95,22 @@
 	// the notice arrives before the VM is listed at all.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void shouldNotBelieveAnOldListThatShowsADepartedServer(boolean seenBefore) {
-		if (seenBefore) {
-			seen(FIRST);
+	void shouldNotDispatchToTerminatedServerWhenOutdatedListContainsIt(boolean listedBefore) {
+		if (listedBefore) {
+			addServer(FIRST);
 		}
 		accept(new ServingEvent.ServerLeaving(FIRST, LeavingSource.PEER, Long.MAX_VALUE));
 		accept(new ServingEvent.ServerGone(FIRST));
-		seen(FIRST);
+		addServer(FIRST);
 		assertThat(arrive("r").getFirst()).isInstanceOf(Refuse.class);
 	}
 
 	// An engine may know that it is leaving before its notice or the VM list arrives
 	// here. After it refused one request for this reason, it must not get new ones.
 	@Test
-	void shouldGiveNoNewWorkToAServerThatRefusedAsLeaving() {
-		seen(FIRST);
-		Dispatch first = dispatched(arrive("r"));
+	void shouldNotDispatchToServerWhenItRefusedAsLeaving() {
+		addServer(FIRST);
+		Dispatch first = lastDispatch(arrive("r"));
 		accept(new ServingEvent.AttemptRefused(first.attempt(), Refusal.LEAVING));
 		tick();
 		this.now += 60_000 * MILLI;
@@ -118,23 +118,23 @@
 	}
 
 	@Test
-	void shouldMoveTheCacheWhenTheAnswerDoesNotFitIntoTheNotice() {
-		seen(FIRST);
-		Dispatch first = dispatched(arrive("r"));
+	void shouldTransferCacheWhenAnswerDoesNotFitIntoNotice() {
+		addServer(FIRST);
+		Dispatch first = lastDispatch(arrive("r"));
 		accept(new ServingEvent.AttemptAccepted(first.attempt(), 0));
 		accept(new ServingEvent.AttemptProgressed(first.attempt(), 3));
-		seen(SECOND);
+		addServer(SECOND);
 		accept(new ServingEvent.ServerLeaving(FIRST, LeavingSource.RECLAIM_NOTICE, this.now + 1_500 * MILLI));
-		Dispatch moved = dispatched(tick());
+		Dispatch moved = lastDispatch(tick());
 		assertThat(moved.server()).isEqualTo(SECOND);
 		assertThat(moved.mode()).isEqualTo(new Mode.Import(FIRST, "vm-1:80", first.attempt()));
 	}
 
 	@Test
-	void shouldLetTheAnswerFinishWhenItFitsIntoTheNotice() {
-		seen(FIRST);
-		dispatched(arrive("r"));
-		seen(SECOND);
+	void shouldFinishInPlaceWhenAnswerFitsIntoNotice() {
+		addServer(FIRST);
+		lastDispatch(arrive("r"));
+		addServer(SECOND);
 		accept(new ServingEvent.ServerLeaving(FIRST, LeavingSource.RECLAIM_NOTICE, this.now + 60_000 * MILLI));
 		assertThat(tick()).isEmpty();
 	}
@@ -142,38 +142,38 @@
 	// -- failed attempts
 
 	@Test
-	void shouldAttachAgainToASilentStreamAndReplayElsewhereWhenItStaysSilent() {
-		seen(FIRST);
-		Dispatch first = dispatched(arrive("r"));
-		seen(SECOND);
+	void shouldReattachToSilentStreamAndReplayElsewhereWhenItStaysSilent() {
+		addServer(FIRST);
+		Dispatch first = lastDispatch(arrive("r"));
+		addServer(SECOND);
 		accept(new ServingEvent.AttemptAccepted(first.attempt(), 0));
-		Dispatch second = broken(first.attempt(), Breakage.SILENT);
+		Dispatch second = failConnection(first.attempt(), Breakage.SILENT);
 		assertThat(second.mode()).isEqualTo(new Mode.Reattach(first.attempt()));
 		assertThat(second.server()).isEqualTo(FIRST);
-		Dispatch third = broken(second.attempt(), Breakage.SILENT);
+		Dispatch third = failConnection(second.attempt(), Breakage.SILENT);
 		assertThat(third.mode()).isEqualTo(new Mode.Reattach(first.attempt()));
 		accept(new ServingEvent.AttemptBroken(third.attempt(), Breakage.SILENT));
 		assertThat(tick()).anyMatch(ServingCommand.Cancel.class::isInstance);
 		this.now += 5_000 * MILLI;
-		Dispatch fourth = dispatched(tick());
+		Dispatch fourth = lastDispatch(tick());
 		assertThat(fourth.mode()).isEqualTo(new Mode.Replay());
 		assertThat(fourth.server()).isEqualTo(SECOND);
 	}
 
 	@Test
-	void shouldSendARefusedAttemptElsewhere() {
-		seen(FIRST);
-		Dispatch first = dispatched(arrive("r"));
-		seen(SECOND);
+	void shouldRetryOnAnotherServerWhenAttemptIsRefused() {
+		addServer(FIRST);
+		Dispatch first = lastDispatch(arrive("r"));
+		addServer(SECOND);
 		accept(new ServingEvent.AttemptRefused(first.attempt(), Refusal.LEAVING));
-		assertThat(dispatched(tick()).server()).isEqualTo(SECOND);
+		assertThat(lastDispatch(tick()).server()).isEqualTo(SECOND);
 	}
 
 	@Test
-	void shouldDropEventsOfAnEarlierAttempt() {
-		seen(FIRST);
-		Dispatch first = dispatched(arrive("r"));
-		seen(SECOND);
+	void shouldDropEventsWhenTheyBelongToEarlierAttempt() {
+		addServer(FIRST);
+		Dispatch first = lastDispatch(arrive("r"));
+		addServer(SECOND);
 		accept(new ServingEvent.AttemptRefused(first.attempt(), Refusal.FULL));
 		tick();
 		accept(new ServingEvent.AttemptFinished(first.attempt()));
@@ -184,12 +184,12 @@
 	// that waits in an engine's queue is sent elsewhere, and its deadline passes before
 	// the cancellation arrives.
 	@Test
-	void shouldNotSayNotRunOfARequestThatWasSentElsewhere() {
-		seen(FIRST);
-		dispatched(arrive("r"));
-		seen(SECOND);
+	void shouldNotReportNotRunWhenRequestWasRerouted() {
+		addServer(FIRST);
+		lastDispatch(arrive("r"));
+		addServer(SECOND);
 		this.now += 200 * MILLI;
-		Dispatch second = dispatched(tick());
+		Dispatch second = lastDispatch(tick());
 		assertThat(second.server()).isEqualTo(SECOND);
 		accept(new ServingEvent.AttemptBroken(second.attempt(), Breakage.CONNECT_FAILED));
 		this.now += 60_000 * MILLI;
@@ -200,9 +200,9 @@
 	// -- deadlines
 
 	@Test
-	void shouldGiveTheFinalAnswerOnceWhenTheDeadlinePasses() {
-		seen(FIRST);
-		dispatched(arrive("r"));
+	void shouldSendFinalResponseOnceWhenDeadlinePasses() {
+		addServer(FIRST);
+		lastDispatch(arrive("r"));
 		this.now += 60_000 * MILLI;
 		List<ServingCommand> commands = tick();
 		assertThat(commands).hasSize(2);
@@ -223,13 +223,13 @@
 		return tick();
 	}
 
-	private void seen(VmId server) {
+	private void addServer(VmId server) {
 		accept(new ServingEvent.ServerSeen(server, "assistant", "a", server + ":80"));
 	}
 
-	private Dispatch broken(AttemptId attempt, Breakage breakage) {
+	private Dispatch failConnection(AttemptId attempt, Breakage breakage) {
 		accept(new ServingEvent.AttemptBroken(attempt, breakage));
-		return dispatched(tick());
+		return lastDispatch(tick());
 	}
 
 	private void accept(ServingEvent event) {
@@ -241,7 +241,7 @@
 		return this.decisions.tick(this.now);
 	}
 
-	private static Dispatch dispatched(List<ServingCommand> commands) {
+	private static Dispatch lastDispatch(List<ServingCommand> commands) {
 		assertThat(commands).isNotEmpty();
 		return (Dispatch) commands.getLast();
 	}
