--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/AdmissionSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/AdmissionSystem.java
@@ -7,19 +7,21 @@
 import org.rosemaryfront.model.Problem;
 import org.rosemaryfront.model.ProblemCode;
 
-/** Accepts or refuses requests that arrived; a refusal comes at once. */
+/** Accepts or refuses newly arrived requests; refusals are sent immediately. */
 final class AdmissionSystem implements ServingSystem {
 
 	private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
-	/** Waits turn out longer than the mean by about this factor. */
+	/** Actual waits exceed the mean by about this factor. */
 	private static final double WAIT_MARGIN = 2;
 
-	/** The part of the slots that can be used before some server has none left. */
-	private static final double USABLE = 0.95;
+	/**
+	 * The fraction of the slots that can be in use before some server has no free slot.
+	 */
+	private static final double USABLE_SLOT_FRACTION = 0.95;
 
-	/** The use of a pool above which organisations over their share are refused. */
-	private static final double SHARED_USE = 0.7;
+	/** The pool utilisation above which organisations over their share are refused. */
+	private static final double FAIR_SHARE_UTILISATION = 0.7;
 
 	@Override
 	public void run(ServingState state, long nowNanos) {
@@ -27,7 +29,7 @@
 			return;
 		}
 		for (Request request : new ArrayList<>(state.requests.arrived())) {
-			Optional<Problem> problem = request.adopted ? Optional.empty() : problem(state, request, nowNanos);
+			Optional<Problem> problem = request.adopted ? Optional.empty() : findProblem(state, request, nowNanos);
 			if (problem.isPresent()) {
 				state.refuse(request, problem.get(), nowNanos);
 			}
@@ -37,8 +39,9 @@
 		}
 	}
 
-	// A request that a peer handed over was accepted there, so it is not judged again.
-	private static Optional<Problem> problem(ServingState state, Request request, long nowNanos) {
+	// A request that a peer handed over was already accepted there and is not checked
+	// again.
+	private static Optional<Problem> findProblem(ServingState state, Request request, long nowNanos) {
 		String pool = request.spec.pool();
 		if (state.stopping) {
 			return refusal(ProblemCode.NOT_READY, "this entry process is stopping", RETRY_AFTER);
@@ -50,50 +53,55 @@
 			return refusal(ProblemCode.OVERLOADED, "too many open requests", RETRY_AFTER);
 		}
 		PoolLoad load = PoolLoad.of(state, pool);
-		if (state.has(ServingFeature.FAIR_SHARES) && load.used() > SHARED_USE
-				&& state.shares.over(request.spec.organisation(), load.slots())) {
+		if (state.has(ServingFeature.FAIR_SHARES) && load.utilisation() > FAIR_SHARE_UTILISATION
+				&& state.shares.exceedsShare(request.spec.organisation(), load.slots())) {
 			return refusal(ProblemCode.OVER_SHARE, "the organisation uses more than its share", RETRY_AFTER);
 		}
-		return state.has(ServingFeature.ADMISSION) ? late(state, request, load, nowNanos) : Optional.empty();
+		return state.has(ServingFeature.ADMISSION) ? findDeadlineProblem(state, request, load, nowNanos)
+				: Optional.empty();
 	}
 
-	// -- time
+	// -- deadlines
 
-	private static Optional<Problem> late(ServingState state, Request request, PoolLoad load, long nowNanos) {
-		double wait = request.chat() ? chatWait(state, load) : summaryWait(state, request);
-		// What begins at once is not refused for its own time: coming back later would
-		// not help, and the estimates that a short burst or a slow engine has spoilt
-		// could never be corrected, so that each long prompt would read "overloaded" on
-		// an idle pool.
-		if (request.chat() ? load.hasFreeSlot() : wait == 0) {
+	private static Optional<Problem> findDeadlineProblem(ServingState state, Request request, PoolLoad load,
+			long nowNanos) {
+		double waitNanos = request.isChat() ? chatWaitNanos(state, load) : summaryWaitNanos(state, request);
+		// A request that can start immediately is not refused for its own estimated
+		// duration: a later retry would not help, and estimates that were distorted by a
+		// short burst or a slow engine could never be corrected, so that every long
+		// prompt would be refused as "overloaded" on an idle pool.
+		if (request.isChat() ? load.hasFreeSlot() : waitNanos == 0) {
 			return Optional.empty();
 		}
-		double prefill = state.estimates.prefillNanos(request.contextTokens());
-		double answer = state.estimates.answerTokens(request) * state.estimates.tokenNanos();
-		boolean late = nowNanos + wait + prefill > startBy(request)
-				|| nowNanos + wait + prefill + answer > request.spec.answerNanos();
+		double prefillNanos = state.estimates.prefillNanos(request.contextTokens());
+		double answerNanos = state.estimates.answerTokens(request) * state.estimates.tokenNanos();
+		boolean late = nowNanos + waitNanos + prefillNanos > latestStartNanos(request)
+				|| nowNanos + waitNanos + prefillNanos + answerNanos > request.spec.answerNanos();
 		return late ? refusal(ProblemCode.OVERLOADED, "it could not be answered in time",
-				Duration.ofMillis((long) (wait / 1e6) + 1)) : Optional.empty();
+				Duration.ofMillis((long) (waitNanos / 1e6) + 1)) : Optional.empty();
 	}
 
-	// Summaries that wait longer than half of their time take slots from chat, so no more
-	// are accepted than start before.
-	private static long startBy(Request request) {
-		long latest = request.spec.firstTokenNanos();
-		return request.chat() ? latest : (request.arrivedNanos + latest) / 2;
+	// Summaries that wait longer than half of their time to the first token take slots
+	// from chat, so only those that are expected to start earlier are accepted.
+	private static long latestStartNanos(Request request) {
+		long deadlineNanos = request.spec.firstTokenDeadlineNanos();
+		return request.isChat() ? deadlineNanos : (request.arrivedNanos + deadlineNanos) / 2;
 	}
 
-	private static double chatWait(ServingState state, PoolLoad load) {
-		return WAIT_MARGIN * load.waitNanos(USABLE, state.estimates.answerNanos());
+	private static double chatWaitNanos(ServingState state, PoolLoad load) {
+		return WAIT_MARGIN * load.waitNanos(USABLE_SLOT_FRACTION, state.estimates.answerNanos());
 	}
 
-	// Summaries wait in the entry behind those that came before.
-	private static double summaryWait(ServingState state, Request request) {
-		long ahead = state.requests.waiting()
+	// Summaries wait in this process behind the summaries of the same pool that arrived
+	// earlier.
+	private static double summaryWaitNanos(ServingState state, Request request) {
+		long earlierSummaries = state.requests.waiting()
 			.stream()
-			.filter((other) -> !other.chat() && other.spec.pool().equals(request.spec.pool()))
+			.filter((other) -> !other.isChat() && other.spec.pool().equals(request.spec.pool()))
 			.count();
-		return (ahead > 0) ? ahead / SummaryLimit.startsPerNano(state, request.spec.pool(), request.arrivedNanos) : 0;
+		return (earlierSummaries > 0)
+				? earlierSummaries / SummaryLimit.maxStartsPerNano(state, request.spec.pool(), request.arrivedNanos)
+				: 0;
 	}
 
 	private static Optional<Problem> refusal(ProblemCode code, String detail, Duration retryAfter) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Attempt.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Attempt.java
@@ -2,13 +2,13 @@
 
 import org.rosemaryfront.model.AttemptId;
 
-/** A row of {@link AttemptTable}. */
+/** An execution of a request on a backend server; a row of {@link AttemptTable}. */
 final class Attempt {
 
 	final AttemptId id;
 
-	/** The attempt under which the stream was opened at the engine. */
-	final AttemptId stream;
+	/** The ID of the attempt under which the stream was opened at the engine. */
+	final AttemptId streamId;
 
 	final Request request;
 
@@ -18,11 +18,13 @@
 
 	final long dispatchedNanos;
 
-	/** The tokens that existed when it was dispatched. */
-	final int firstOffset;
+	/** The number of answer tokens that were already emitted at dispatch. */
+	final int initialTokens;
 
-	/** The prompt tokens that were believed to be cached at its server. */
-	final int believedTokens;
+	/**
+	 * The prompt tokens in the server's prefix cache at dispatch, according to the hints.
+	 */
+	final int hintedTokens;
 
 	boolean accepted;
 
@@ -30,21 +32,21 @@
 
 	int cachedTokens;
 
-	/** Whether its first token came. */
-	boolean begun;
+	/** Whether its first token was received. */
+	boolean firstTokenReceived;
 
 	long lastTokenNanos;
 
-	Attempt(AttemptId id, AttemptId stream, Request request, Server server, ServingCommand.Mode mode,
+	Attempt(AttemptId id, AttemptId streamId, Request request, Server server, ServingCommand.Mode mode,
 			long dispatchedNanos) {
 		this.id = id;
-		this.stream = stream;
+		this.streamId = streamId;
 		this.request = request;
 		this.server = server;
 		this.mode = mode;
 		this.dispatchedNanos = dispatchedNanos;
-		this.believedTokens = server.hints.believedBlocks(request.blocks) * PrefixBlocks.BLOCK_TOKENS;
-		this.firstOffset = request.emittedTokens;
+		this.hintedTokens = server.hints.hintedBlocks(request.blocks) * PrefixBlocks.BLOCK_TOKENS;
+		this.initialTokens = request.emittedTokens;
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Candidates.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Candidates.java
@@ -3,39 +3,39 @@
 import java.util.SplittableRandom;
 
 /**
- * The few backend servers that a request may go to: all of a small pool; of a large one
- * those that follow its prompt prefix on the ring and some at random, so that a decision
- * costs the same at any size.
+ * The few backend servers that are considered for a request: all servers of a small pool;
+ * of a large pool, those that follow the request's affinity key on the hash ring and some
+ * random ones, so that the cost of a decision does not depend on the size of the pool.
  */
 final class Candidates {
 
-	/** The servers looked at. */
-	static final int COUNT = 16;
+	/** The maximum number of candidates. */
+	static final int MAX_COUNT = 16;
 
-	/** Of them, the ones that follow on the ring. */
-	private static final int ON_RING = 12;
+	/** The number of candidates that are taken from the hash ring. */
+	private static final int MAX_RING_COUNT = 12;
 
-	private final Server[] onRing = new Server[ON_RING];
+	private final Server[] ringServers = new Server[MAX_RING_COUNT];
 
-	private final Server[] found = new Server[COUNT];
+	private final Server[] servers = new Server[MAX_COUNT];
 
 	private int count;
 
 	// -- search
 
 	void find(ServerPool pool, long key, SplittableRandom random) {
-		if (pool.live().size() <= COUNT) {
+		if (pool.live().size() <= MAX_COUNT) {
 			this.count = pool.live().size();
 			int offset = (this.count > 0) ? random.nextInt(this.count) : 0;
 			for (int i = 0; i < this.count; i++) {
-				this.found[i] = pool.live().get((i + offset) % this.count);
+				this.servers[i] = pool.live().get((i + offset) % this.count);
 			}
 			return;
 		}
-		this.count = pool.ring().after(key, this.onRing);
-		System.arraycopy(this.onRing, 0, this.found, 0, this.count);
-		while (this.count < COUNT) {
-			this.found[this.count++] = pool.live().get(random.nextInt(pool.live().size()));
+		this.count = pool.ring().findSuccessors(key, this.ringServers);
+		System.arraycopy(this.ringServers, 0, this.servers, 0, this.count);
+		while (this.count < MAX_COUNT) {
+			this.servers[this.count++] = pool.live().get(random.nextInt(pool.live().size()));
 		}
 	}
 
@@ -46,19 +46,20 @@
 	}
 
 	Server get(int index) {
-		return this.found[index];
+		return this.servers[index];
 	}
 
-	// The server that all entry processes agree on for a key: the highest hash of key and
-	// server (rendezvous hashing).
+	// Returns the server that all entry processes prefer for a key: the one with the
+	// highest hash of key and server (rendezvous hashing), or null if there are no
+	// candidates.
 	Server home(long key) {
 		Server home = null;
-		long highest = Long.MIN_VALUE;
+		long highestWeight = Long.MIN_VALUE;
 		for (int i = 0; i < this.count; i++) {
-			long weight = HashRing.mix(key ^ this.found[i].hash);
-			if (home == null || weight > highest) {
-				home = this.found[i];
-				highest = weight;
+			long weight = HashRing.mix(key ^ this.servers[i].hash);
+			if (home == null || weight > highestWeight) {
+				home = this.servers[i];
+				highestWeight = weight;
 			}
 		}
 		return home;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PoolLoad.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PoolLoad.java
@@ -3,43 +3,46 @@
 import java.util.List;
 
 /**
- * The load of a pool at one moment, as far as this process knows it.
+ * The current load of a pool, as far as this process knows it.
  *
- * @param slots the streams that its backend servers can run at a time
- * @param streams the streams that they have
+ * @param slots the number of streams that the backend servers can run at the same time
+ * @param streams the number of streams on the backend servers
  */
 record PoolLoad(double slots, double streams) {
 
-	/** Servers looked at; the load of a larger pool is taken from a part of it. */
-	private static final int SAMPLE = 64;
+	/**
+	 * The approximate number of servers to sample; the load of a larger pool is
+	 * extrapolated.
+	 */
+	private static final int SAMPLE_SIZE = 64;
 
 	static PoolLoad of(ServingState state, String pool) {
 		List<Server> live = state.servers.pool(pool).live();
-		int step = Math.max(1, live.size() / SAMPLE);
-		int looked = 0;
+		int step = Math.max(1, live.size() / SAMPLE_SIZE);
+		int sampled = 0;
 		double streams = 0;
 		for (int i = 0; i < live.size(); i += step) {
 			streams += live.get(i).streams();
-			looked++;
+			sampled++;
 		}
-		double scale = (looked > 0) ? (double) live.size() / looked : 0;
+		double scale = (sampled > 0) ? (double) live.size() / sampled : 0;
 		return new PoolLoad((double) live.size() * state.slots(pool), streams * scale);
 	}
 
-	// Whether one more stream finds a slot at once.
+	// Whether one more stream would get a slot immediately.
 	boolean hasFreeSlot() {
 		return this.streams + 1 <= this.slots;
 	}
 
-	// The part of the slots in use; a pool without slots is full.
-	double used() {
+	// Returns the fraction of the slots in use; a pool without slots counts as full.
+	double utilisation() {
 		return (this.slots > 0) ? this.streams / this.slots : 1;
 	}
 
-	// The time until one more stream finds a slot when a part of the slots can be used,
-	// in nanoseconds.
-	double waitNanos(double usable, double answerNanos) {
-		return Math.max(0, this.streams + 1 - usable * this.slots) * answerNanos / Math.max(1, this.slots);
+	// Returns the expected time until one more stream gets a slot if only the given
+	// fraction of the slots can be used, in nanoseconds.
+	double waitNanos(double usableFraction, double answerNanos) {
+		return Math.max(0, this.streams + 1 - usableFraction * this.slots) * answerNanos / Math.max(1, this.slots);
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PrefixHints.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/PrefixHints.java
@@ -3,69 +3,74 @@
 import java.util.List;
 
 /**
- * Which prompt blocks a backend server is believed to have in its prefix cache. A hint
- * only: cache events come late and with gaps, and the table forgets a block when another
- * takes its place. How far the hints came true scales them.
+ * The prompt blocks that a backend server probably has in its prefix cache. These are
+ * only hints: cache events arrive late and with gaps, and a block is lost when another
+ * block is stored at the same index. The measured accuracy of earlier hints scales the
+ * expected number of cached blocks.
  */
 final class PrefixHints {
 
-	/** The blocks remembered, about what a backend server caches; a power of two. */
-	private static final int SIZE = 2_048;
+	/**
+	 * The number of blocks stored, about as many as a backend server caches; a power of
+	 * two.
+	 */
+	private static final int CAPACITY = 2_048;
 
-	/** The weight of the newest outcome. */
-	private static final double NEWEST = 0.1;
+	/** The smoothing factor of the accuracy. */
+	private static final double SMOOTHING_FACTOR = 0.1;
 
-	/** Hints are never trusted less, so that they can prove true again. */
-	private static final double LEAST_TRUST = 0.2;
+	/** The minimum accuracy; hints stay in use so that the accuracy can recover. */
+	private static final double MIN_ACCURACY = 0.2;
 
 	private long[] blocks = {};
 
-	private double trust = 1;
+	private double accuracy = 1;
 
 	// -- changes
 
 	void add(long block) {
 		if (this.blocks.length == 0) {
-			this.blocks = new long[SIZE];
+			this.blocks = new long[CAPACITY];
 		}
-		this.blocks[place(block)] = block;
+		this.blocks[index(block)] = block;
 	}
 
-	void addAll(long[] prompt) {
-		for (long block : prompt) {
+	void addAll(long[] promptBlocks) {
+		for (long block : promptBlocks) {
 			add(block);
 		}
 	}
 
-	// Events before these may be missing, so nothing that is not named is changed.
-	void reported(List<Long> added, List<Long> removed) {
+	// Earlier cache events may be missing, so blocks that are not listed stay unchanged.
+	void applyCacheEvents(List<Long> added, List<Long> removed) {
 		added.forEach(this::add);
 		for (Long block : removed) {
 			if (contains(block)) {
-				this.blocks[place(block)] = 0;
+				this.blocks[index(block)] = 0;
 			}
 		}
 	}
 
-	void cameTrue(int predicted, int actual) {
-		if (predicted > 0) {
-			double share = Math.min(1, (double) actual / predicted);
-			this.trust = Math.max(LEAST_TRUST, this.trust + NEWEST * (share - this.trust));
+	void recordOutcome(int hintedTokens, int cachedTokens) {
+		if (hintedTokens > 0) {
+			double cachedFraction = Math.min(1, (double) cachedTokens / hintedTokens);
+			this.accuracy = Math.max(MIN_ACCURACY, this.accuracy + SMOOTHING_FACTOR * (cachedFraction - this.accuracy));
 		}
 	}
 
 	// -- queries
 
-	// The number of leading blocks believed to be cached; a block is only kept with those
-	// before it, so the deepest one tells.
-	double cachedBlocks(long[] prompt) {
-		return this.trust * believedBlocks(prompt);
+	// Returns the expected number of leading blocks in the cache. The cache keeps a block
+	// only together with the preceding blocks, so the deepest block found determines the
+	// number.
+	double expectedBlocks(long[] promptBlocks) {
+		return this.accuracy * hintedBlocks(promptBlocks);
 	}
 
-	int believedBlocks(long[] prompt) {
+	int hintedBlocks(long[] promptBlocks) {
 		if (this.blocks.length > 0) {
-			for (int i = prompt.length - 1; i >= 0; i--) {
-				if (contains(prompt[i])) {
+			for (int i = promptBlocks.length - 1; i >= 0; i--) {
+				if (contains(promptBlocks[i])) {
 					return i + 1;
 				}
 			}
@@ -74,11 +79,11 @@
 	}
 
 	private boolean contains(long block) {
-		return this.blocks.length > 0 && this.blocks[place(block)] == block;
+		return this.blocks.length > 0 && this.blocks[index(block)] == block;
 	}
 
-	private static int place(long block) {
-		return (int) (block ^ (block >>> 32)) & (SIZE - 1);
+	private static int index(long block) {
+		return (int) (block ^ (block >>> 32)) & (CAPACITY - 1);
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RateMeter.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RateMeter.java
@@ -1,31 +1,33 @@
 package org.rosemaryfront.serving;
 
-/** The rate of events, exponentially weighted over the last seconds. */
+/** Measures an exponentially weighted rate of events. */
 final class RateMeter {
 
-	/** The time after which an event counts for about a third, in nanoseconds. */
-	private final double windowNanos;
+	/**
+	 * The time constant, after which an event counts for about a third, in nanoseconds.
+	 */
+	private final double timeConstantNanos;
 
-	private double weight;
+	private double decayedCount;
 
 	private long lastNanos;
 
-	RateMeter(double windowNanos) {
-		this.windowNanos = windowNanos;
+	RateMeter(double timeConstantNanos) {
+		this.timeConstantNanos = timeConstantNanos;
 	}
 
-	void count(long nowNanos) {
-		this.weight = decayed(nowNanos) + 1;
+	void recordEvent(long nowNanos) {
+		this.decayedCount = decayedCountAt(nowNanos) + 1;
 		this.lastNanos = nowNanos;
 	}
 
-	// Events a nanosecond.
+	// Returns the number of events per nanosecond.
 	double perNano(long nowNanos) {
-		return decayed(nowNanos) / this.windowNanos;
+		return decayedCountAt(nowNanos) / this.timeConstantNanos;
 	}
 
-	private double decayed(long nowNanos) {
-		return this.weight * Math.exp((this.lastNanos - nowNanos) / this.windowNanos);
+	private double decayedCountAt(long nowNanos) {
+		return this.decayedCount * Math.exp((this.lastNanos - nowNanos) / this.timeConstantNanos);
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ReroutingSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ReroutingSystem.java
@@ -6,23 +6,29 @@
 import java.util.Optional;
 
 /**
- * Sends chats that wait in the queue of a backend server to another one. A server that
- * has a free slot accepts within a step or two; when it has not by then, it is full,
- * whatever the last load report says, and nothing was computed there yet.
+ * Sends chats that wait in the queue of a backend server to another server. A server with
+ * a free slot accepts a request within one or two engine steps; a server that has not
+ * accepted it by then is full, regardless of its last load report, and has computed
+ * nothing for it yet.
  */
 final class ReroutingSystem implements ServingSystem {
 
-	/** What two processes and the network may add to a step, in nanoseconds. */
+	/**
+	 * The latency that two processes and the network may add to an engine step, in
+	 * nanoseconds.
+	 */
 	private static final double LATENCY_NANOS = 20e6;
 
-	/** Steps of the engine after which an attempt is taken to wait. */
-	private static final double STEPS = 2.5;
+	/**
+	 * The number of engine steps after which an attempt is assumed to wait in a queue.
+	 */
+	private static final double MAX_ACCEPT_STEPS = 2.5;
 
-	/** How long a server is taken to be full, in nanoseconds. */
-	private static final long FULL_NANOS = 300_000_000;
+	/** How long a server is treated as full, in nanoseconds. */
+	private static final long FULL_DURATION_NANOS = 300_000_000;
 
-	/** Times that a request is sent elsewhere. */
-	private static final int LIMIT = 4;
+	/** The maximum number of times that a request is sent to another server. */
+	private static final int MAX_REROUTES = 4;
 
 	private final Router router;
 
@@ -35,26 +41,26 @@
 		if (!state.has(ServingFeature.REROUTING)) {
 			return;
 		}
-		double patience = LATENCY_NANOS + STEPS * state.estimates.stepNanos();
-		Iterator<Attempt> oldest = state.attempts.unaccepted().iterator();
-		List<Attempt> waiting = new ArrayList<>();
-		while (oldest.hasNext()) {
-			Attempt attempt = oldest.next();
-			if (nowNanos - attempt.dispatchedNanos < patience) {
+		double acceptTimeoutNanos = LATENCY_NANOS + MAX_ACCEPT_STEPS * state.estimates.stepNanos();
+		Iterator<Attempt> unaccepted = state.attempts.unaccepted().iterator();
+		List<Attempt> queued = new ArrayList<>();
+		while (unaccepted.hasNext()) {
+			Attempt attempt = unaccepted.next();
+			if (nowNanos - attempt.dispatchedNanos < acceptTimeoutNanos) {
 				break;
 			}
-			oldest.remove();
-			waiting.add(attempt);
+			unaccepted.remove();
+			queued.add(attempt);
 		}
-		waiting.forEach((attempt) -> reroute(state, attempt, nowNanos));
+		queued.forEach((attempt) -> reroute(state, attempt, nowNanos));
 	}
 
 	private void reroute(ServingState state, Attempt attempt, long nowNanos) {
 		Request request = attempt.request;
 		boolean movable = attempt.mode instanceof ServingCommand.Mode.Fresh
 				|| attempt.mode instanceof ServingCommand.Mode.Replay;
-		attempt.server.fullUntilNanos = nowNanos + FULL_NANOS;
-		if (!movable || !request.chat() || request.reroutes >= LIMIT) {
+		attempt.server.fullUntilNanos = nowNanos + FULL_DURATION_NANOS;
+		if (!movable || !request.isChat() || request.reroutes >= MAX_REROUTES) {
 			return;
 		}
 		Optional<Router.Choice> choice = this.router.choose(state, request, nowNanos);
