--- a/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/CapacityExecutor.java
+++ b/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/CapacityExecutor.java
@@ -53,8 +53,8 @@
 
 	private long fenceVersion;
 
-	CapacityExecutor(ControllerParts parts, LeaseStateMachine lease, DecisionLog decisions, Consumer<CapacityEvent> answers,
-			Consumer<Long> overtaken) {
+	CapacityExecutor(ControllerParts parts, LeaseStateMachine lease, DecisionLog decisions,
+			Consumer<CapacityEvent> answers, Consumer<Long> overtaken) {
 		this.engines = parts.engines();
 		this.cloud = parts.cloud();
 		this.intents = IntentTable.of(parts.tables());
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/CrashTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/crashes/CrashTable.java
@@ -38,8 +38,8 @@
  * callers send the same request, one copy is sent as a probe.
  *
  * <p>
- * Not thread-safe, except for {@link #isQuarantined} and {@link #quarantinedCount}. Times are on the
- * monotonic clock, in nanoseconds, unless stated otherwise.
+ * Not thread-safe, except for {@link #isQuarantined} and {@link #quarantinedCount}. Times
+ * are on the monotonic clock, in nanoseconds, unless stated otherwise.
  */
 public final class CrashTable {
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/Dispatcher.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/Dispatcher.java
@@ -89,7 +89,8 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the choice
 	 */
-	public Choice choose(CallRequirements requirements, Collection<String> tried, Predicate<BackendServer> allowed, long nowNanos) {
+	public Choice choose(CallRequirements requirements, Collection<String> tried, Predicate<BackendServer> allowed,
+			long nowNanos) {
 		List<BackendRow> eligible = this.table.eligibleRows(requirements.service(), tried)
 			.stream()
 			.filter((row) -> allowed.test(row.server))
@@ -158,7 +159,8 @@
 	// prefixes for which they come first in the common order: with empty caches assumed,
 	// every prompt seemed to need a full prefill, and 200 calls were rejected within two
 	// seconds after all processes had been killed.
-	private Optional<CachingServer> assumedCachingServer(CallRequirements requirements, List<BackendRow> rows, long nowNanos) {
+	private Optional<CachingServer> assumedCachingServer(CallRequirements requirements, List<BackendRow> rows,
+			long nowNanos) {
 		boolean warmingUp = nowNanos - this.firstPromptNanos.getAsLong() < WARM_UP_NANOS;
 		return rows.stream()
 			.filter((row) -> warmingUp && row.registeredNanos.isEmpty())
@@ -166,7 +168,8 @@
 			.map((row) -> new CachingServer(row, requirements.prefix().tokens()));
 	}
 
-	private CostEstimate estimate(CallRequirements requirements, BackendRow row, Optional<CachingServer> cachingServer) {
+	private CostEstimate estimate(CallRequirements requirements, BackendRow row,
+			Optional<CachingServer> cachingServer) {
 		FirstTokenModel model = model(requirements.service());
 		boolean isCachingServer = cachingServer.isPresent() && cachingServer.get().row == row;
 		int cachedTokens = isCachingServer ? cachingServer.get().cachedTokens
@@ -252,7 +255,8 @@
 		 * @param expectedMillis the expected time to first token in milliseconds, 0 if
 		 * unknown
 		 * @param candidates the number of servers that were compared
-		 * @param transferSource the server from which missing segments are transferred, if any
+		 * @param transferSource the server from which missing segments are transferred,
+		 * if any
 		 * @param work the work of the server until the first token, empty if unknown
 		 */
 		record Chosen(BackendServer server, int load, long uncachedTokens, long expectedMillis, int candidates,
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/ScalingOrders.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/duties/ScalingOrders.java
@@ -7,9 +7,9 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-import org.rosemaryfront.duties.PoolSize.Pool;
 import org.rosemaryfront.duties.CapacityPlanner.Plan;
 import org.rosemaryfront.duties.CapacityPlanner.ZoneSize;
+import org.rosemaryfront.duties.PoolSize.Pool;
 import org.rosemaryfront.routes.ServiceSpec;
 
 /**
@@ -61,11 +61,13 @@
 		plan.zones().forEach((zone, planned) -> {
 			int current = zoneSize(present, zone).reclaimable();
 			int requested = shortage ? Math.max(planned.reclaimable(), current) : planned.reclaimable();
-			nextOrder(service, new PoolSize(service.name(), zone, requested, true), current, nowNanos).ifPresent(sizes::add);
+			nextOrder(service, new PoolSize(service.name(), zone, requested, true), current, nowNanos)
+				.ifPresent(sizes::add);
 		});
 		Fallback fallback = fallback(service, plan, present);
 		plan.zones().forEach((zone, planned) -> {
-			PoolSize onDemand = new PoolSize(service.name(), zone, planned.onDemand() + fallback.serversIn(zone), false);
+			PoolSize onDemand = new PoolSize(service.name(), zone, planned.onDemand() + fallback.serversIn(zone),
+					false);
 			nextOrder(service, onDemand, zoneSize(present, zone).onDemand(), nowNanos).ifPresent(sizes::add);
 		});
 		return sizes;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseStateMachine.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/lease/LeaseStateMachine.java
@@ -24,9 +24,9 @@
  * unchanged.
  *
  * <pre>
- * LeaseMachine lease = LeaseMachine.of("vm-1", terms, seed);
+ * LeaseStateMachine lease = LeaseStateMachine.of("vm-1", terms, seed);
  * lease.tick(now).forEach(driver::execute);
- * if (lease.mayOrder(System.nanoTime())) { send(order, lease.fence()); }
+ * if (lease.maySendOrders(System.nanoTime())) { send(order, lease.fence()); }
  * </pre>
  */
 public final class LeaseStateMachine {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/QuotaTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/quota/QuotaTable.java
@@ -299,8 +299,8 @@
 	 * The use of an organisation that a process reports.
 	 *
 	 * @param units the units used since the process started
-	 * @param requested the units requested there within the last second, including refused
-	 * ones
+	 * @param requested the units requested there within the last second, including
+	 * refused ones
 	 * @param inFirstWindow whether the process started less than a window ago
 	 */
 	public record Use(double units, double requested, boolean inFirstWindow) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Rollout.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/Rollout.java
@@ -94,7 +94,8 @@
 	 * @param failing whether the call failed or was slow
 	 */
 	public void recordCall(String route, boolean candidate, boolean failing) {
-		this.ownTallies.merge(route, Tally.NONE.plus(candidate, failing), (before, _) -> before.plus(candidate, failing));
+		this.ownTallies.merge(route, Tally.NONE.plus(candidate, failing),
+				(before, _) -> before.plus(candidate, failing));
 	}
 
 	/**
@@ -121,7 +122,8 @@
 	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the rules, in the order in which they are tried
 	 */
-	public List<VersionRule> versionRules(Collection<BackendServer> servers, boolean isRetry, double draw, long nowNanos) {
+	public List<VersionRule> versionRules(Collection<BackendServer> servers, boolean isRetry, double draw,
+			long nowNanos) {
 		List<BackendServer> candidate = servers.stream().filter(this::isCandidate).toList();
 		if (candidate.isEmpty() || candidate.size() == servers.size()) {
 			return List.of(VersionRule.any());
@@ -130,8 +132,8 @@
 		return switch (this.phase) {
 			case SUCCEEDED -> List.of(VersionRule.only(this.order.targetVersion()), fallback);
 			case ROLLED_BACK -> List.of(fallback);
-			case MOVING ->
-				mayUseCandidate(nowNanos) ? List.of(VersionRule.only(this.order.targetVersion()), fallback) : List.of(fallback);
+			case MOVING -> mayUseCandidate(nowNanos) ? List.of(VersionRule.only(this.order.targetVersion()), fallback)
+					: List.of(fallback);
 			case TRIAL -> (!isRetry && draw < this.trialShare && mayUseCandidate(nowNanos))
 					? List.of(VersionRule.trial(trialServers(candidate)), fallback) : List.of(fallback);
 		};
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutPlan.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutPlan.java
@@ -75,8 +75,8 @@
 		if (servers.candidate() == 0) {
 			return Optional.of(Phase.ROLLED_BACK);
 		}
-		return (servers.baselineCalls() == 0 || remainingMillis <= COMPLETION_MARGIN_MILLIS) ? Optional.of(Phase.SUCCEEDED)
-				: Optional.empty();
+		return (servers.baselineCalls() == 0 || remainingMillis <= COMPLETION_MARGIN_MILLIS)
+				? Optional.of(Phase.SUCCEEDED) : Optional.empty();
 	}
 
 	/**
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/rollout/RolloutTable.java
@@ -44,7 +44,8 @@
 
 	private static boolean supersedes(RolloutOrder order, Rollout current) {
 		boolean newer = order.number() > current.order().number();
-		boolean isDuplicate = order.targetVersion().equals(current.order().targetVersion()) && !current.phase().isFinal();
+		boolean isDuplicate = order.targetVersion().equals(current.order().targetVersion())
+				&& !current.phase().isFinal();
 		return newer && !isDuplicate;
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashSimulation.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashSimulation.java
@@ -256,7 +256,8 @@
 					boolean granted = !CrashSimulation.this.storeUnavailable
 							&& CrashSimulation.this.probes.add(attempt.request);
 					if (!CrashSimulation.this.storeUnavailable) {
-						CrashSimulation.this.gateways.forEach((gateway) -> gateway.table.setProbeGranted(attempt.request, true));
+						CrashSimulation.this.gateways
+							.forEach((gateway) -> gateway.table.setProbeGranted(attempt.request, true));
 					}
 					attempt.isProbe = granted;
 					if (granted) {
@@ -306,7 +307,8 @@
 			this.table.serverResponded(server.start, sentNanos, nowNanos());
 			this.urgent |= !this.table.clear(attempt.request, nowNanos()).isEmpty();
 			if (CrashSimulation.this.probes.remove(attempt.request)) {
-				CrashSimulation.this.gateways.forEach((gateway) -> gateway.table.setProbeGranted(attempt.request, false));
+				CrashSimulation.this.gateways
+					.forEach((gateway) -> gateway.table.setProbeGranted(attempt.request, false));
 			}
 		}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/DispatcherTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/dispatch/DispatcherTests.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 import org.rosemaryfront.dispatch.BackendServer.Incarnation;
-import org.rosemaryfront.dispatch.Dispatcher.Choice;
 import org.rosemaryfront.dispatch.Dispatcher.CallRequirements;
+import org.rosemaryfront.dispatch.Dispatcher.Choice;
 import org.rosemaryfront.routes.ServiceSpec.EngineSpec;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -108,7 +108,8 @@
 	// text after another beginning has other KV cache entries.
 	@Test
 	void shouldReuseSegmentsOnlyWhenPrecedingSegmentsMatch() {
-		this.table.recordPrefillStart(start("s1"), PromptPrefix.of(List.of("a", "b"), List.of(1_000, 3_000)), CACHE_TOKENS);
+		this.table.recordPrefillStart(start("s1"), PromptPrefix.of(List.of("a", "b"), List.of(1_000, 3_000)),
+				CACHE_TOKENS);
 		PromptPrefix other = PromptPrefix.of(List.of("c", "b"), List.of(1_000, 3_000));
 		assertThat(choose(requirements(other, 800)).uncachedTokens()).isEqualTo(4_800);
 		PromptPrefix longer = PromptPrefix.of(List.of("a", "d"), List.of(1_000, 3_000));
@@ -152,8 +153,8 @@
 		restarted.recordExistingRegistration(server("s1", false));
 		BackendTable scaledOut = new BackendTable();
 		scaledOut.recordRegistration(server("s1", false), 0);
-		CallRequirements requirements = new CallRequirements("llm", PromptPrefix.of(List.of("part"), List.of(100_000)), Optional.empty(), 800,
-				600, 0);
+		CallRequirements requirements = new CallRequirements("llm", PromptPrefix.of(List.of("part"), List.of(100_000)),
+				Optional.empty(), 800, 600, 0);
 		assertThat(new Dispatcher(restarted, "a").choose(requirements, Set.of(), SECOND))
 			.isInstanceOf(Choice.Chosen.class);
 		assertThat(new Dispatcher(scaledOut, "a").choose(requirements, Set.of(), SECOND))
@@ -209,7 +210,8 @@
 			this.table.recordCallSent(start(id), 40_000);
 		}
 		for (int rank = 0; rank <= 2; rank++) {
-			CallRequirements requirements = new CallRequirements("llm", PromptPrefix.none(), Optional.empty(), 1_000, 500, rank);
+			CallRequirements requirements = new CallRequirements("llm", PromptPrefix.none(), Optional.empty(), 1_000,
+					500, rank);
 			if (this.dispatcher.choose(requirements, Set.of(), 0) instanceof Choice.Chosen) {
 				accepted.add(rank);
 			}
@@ -225,7 +227,8 @@
 	void shouldNotRejectLateCallWhenItHasRun(boolean ran, long expectedMillis) {
 		long remainingMillis = CallRequirements.remainingMillis(600 - 2_600, 2_000, ran);
 		assertThat(remainingMillis).isEqualTo(expectedMillis);
-		CallRequirements requirements = new CallRequirements("llm", PromptPrefix.none(), Optional.empty(), 1_000, remainingMillis, 0);
+		CallRequirements requirements = new CallRequirements("llm", PromptPrefix.none(), Optional.empty(), 1_000,
+				remainingMillis, 0);
 		Choice choice = this.dispatcher.choose(requirements, Set.of("s1"), 0);
 		assertThat(choice instanceof Choice.Chosen).isEqualTo(ran);
 	}
@@ -250,7 +253,8 @@
 
 	@Test
 	void shouldPreferOwnZoneWhenLoadIsEqual() {
-		this.table.recordRegistration(new BackendServer("s0", 0, "llm", "v1", "h:1", "b", 4, false, false, 0), LONG_AGO);
+		this.table.recordRegistration(new BackendServer("s0", 0, "llm", "v1", "h:1", "b", 4, false, false, 0),
+				LONG_AGO);
 		assertThat(chosen(withoutPrompt()).zone()).isEqualTo("a");
 	}
 
@@ -394,8 +398,8 @@
 	}
 
 	private static CallRequirements requirements(PromptPrefix prefix, int ownTokens) {
-		return new CallRequirements("llm", prefix, Optional.of(new EngineSpec(4, CACHE_TOKENS, 160_000, 370_000)), ownTokens,
-				10_000, 0);
+		return new CallRequirements("llm", prefix, Optional.of(new EngineSpec(4, CACHE_TOKENS, 160_000, 370_000)),
+				ownTokens, 10_000, 0);
 	}
 
 	private static CallRequirements promptRequirements(String segment, int ownTokens) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ScalingOrdersTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/duties/ScalingOrdersTests.java
@@ -143,8 +143,8 @@
 	void shouldReleaseNoServerWhenAnotherIsMissing() {
 		Plan smaller = new Plan(2.8, 2.8, new TreeMap<>(Map.of("a", new ZoneSize(1, 1), "b", new ZoneSize(1, 1))));
 		assertThat(this.orders.nextOrders(LLM, smaller, WITHOUT_B, 0)).noneMatch((size) -> size.zone().equals("a"));
-		assertThat(this.orders.nextOrders(LLM, smaller, COMPLETE, 9 * SECOND)).contains(new PoolSize("llm", "a", 1, true),
-				new PoolSize("llm", "b", 1, true));
+		assertThat(this.orders.nextOrders(LLM, smaller, COMPLETE, 9 * SECOND))
+			.contains(new PoolSize("llm", "a", 1, true), new PoolSize("llm", "b", 1, true));
 	}
 
 	// A traffic peak is over: fallback servers for it would cost five times as much as
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/fleet/FleetTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/fleet/FleetTests.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 import org.rosemaryfront.fleet.Fleet.Confirmation;
-import org.rosemaryfront.fleet.Fleet.ReportStatus;
 import org.rosemaryfront.fleet.Fleet.Report;
+import org.rosemaryfront.fleet.Fleet.ReportStatus;
 import org.rosemaryfront.fleet.Fleet.Sharing;
 import org.rosemaryfront.tables.Role;
 
@@ -100,7 +100,8 @@
 	@Test
 	void shouldIgnoreConfirmationWhenItIsOfEarlierStart() {
 		this.fleet.gatewaysListed();
-		this.fleet.reportReceived(new Report("gateway-2", 2, 1, false, 0, false, Optional.of(new Confirmation(SELF + 1, 1))), 0);
+		this.fleet.reportReceived(
+				new Report("gateway-2", 2, 1, false, 0, false, Optional.of(new Confirmation(SELF + 1, 1))), 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(1);
 	}
 
@@ -158,7 +159,8 @@
 		this.fleet.gatewaysListed();
 		receive(report(2, 5), 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(1);
-		this.fleet.reportReceived(new Report("gateway-2", 2, 5, false, 0, false, Optional.of(new Confirmation(SELF, 1))), 0);
+		this.fleet
+			.reportReceived(new Report("gateway-2", 2, 5, false, 0, false, Optional.of(new Confirmation(SELF, 1))), 0);
 		assertThat(this.fleet.sharing(0).group()).isEqualTo(2);
 	}
 
@@ -241,7 +243,8 @@
 		Fleet fleet = new Fleet(SELF);
 		names.stream()
 			.filter((name) -> !name.equals(self))
-			.forEach((name) -> fleet.reportReceived(new Report(name, name.hashCode(), 1, false, 0, reads, Optional.empty()), 0));
+			.forEach((name) -> fleet
+				.reportReceived(new Report(name, name.hashCode(), 1, false, 0, reads, Optional.empty()), 0));
 		return fleet;
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleet.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaFleet.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 import org.rosemaryfront.fleet.Fleet;
-import org.rosemaryfront.fleet.Fleet.ReportStatus;
 import org.rosemaryfront.fleet.Fleet.Report;
+import org.rosemaryfront.fleet.Fleet.ReportStatus;
 import org.rosemaryfront.quota.QuotaTable.Use;
 import org.rosemaryfront.routes.Organisation;
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaTableTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/quota/QuotaTableTests.java
@@ -329,8 +329,8 @@
 	}
 
 	private static Organisation organisation(double perSecond) {
-		return new Organisation("sfax", List.of("k"), OptionalInt.empty(), perSecond, 50, Organisation.QuotaUnit.REQUESTS,
-				1);
+		return new Organisation("sfax", List.of("k"), OptionalInt.empty(), perSecond, 50,
+				Organisation.QuotaUnit.REQUESTS, 1);
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutSimulation.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutSimulation.java
@@ -159,7 +159,8 @@
 		for (int i = 0; i < count; i++) {
 			Gateway gateway = this.gateways.get(this.random.nextInt(this.gateways.size()));
 			String route = ROUTES[this.random.nextInt(ROUTES.length)];
-			VersionRule rule = gateway.rollout.versionRules(this.servers, false, this.random.nextDouble(), nanos()).getFirst();
+			VersionRule rule = gateway.rollout.versionRules(this.servers, false, this.random.nextDouble(), nanos())
+				.getFirst();
 			boolean isCandidate = rule.allows(this.servers.get(1)) && !rule.allows(this.servers.get(0));
 			boolean failing = this.random.nextDouble() < (isCandidate
 					? this.failureModel.failingShare(route, this.nowMillis) : BASELINE_FAILING_SHARE);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/rollout/RolloutTests.java
@@ -169,8 +169,8 @@
 			"SUCCEEDED, BAD, 17000, 20, 0, 0, ", "ROLLED_BACK, GOOD, 17000, 20, 20, 0, " })
 	void shouldPlanNextPhase(Phase phase, Verdict verdict, long sinceMillis, int candidate, int baseline,
 			int baselineCalls, Phase next) {
-		assertThat(
-				RolloutPlan.next(ORDER, phase, verdict, sinceMillis, new ServerCounts(candidate, baseline, baselineCalls)))
+		assertThat(RolloutPlan.next(ORDER, phase, verdict, sinceMillis,
+				new ServerCounts(candidate, baseline, baselineCalls)))
 			.isEqualTo(Optional.ofNullable(next));
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleet.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/SimulatedFleet.java
@@ -233,7 +233,8 @@
 					applyChanges(rows.changes(), rows.version());
 				}
 				case SimulatedStore.Response.Failed failed ->
-					this.follower.queryFailed(sent, failed.historyLost(), SimulatedFleet.this.now).ifPresent(this::send);
+					this.follower.queryFailed(sent, failed.historyLost(), SimulatedFleet.this.now)
+						.ifPresent(this::send);
 			}
 		}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/TableFollowerTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/tables/TableFollowerTests.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 import org.rosemaryfront.tables.Freshness.Source;
-import org.rosemaryfront.tables.TableQuery.Sent;
 import org.rosemaryfront.tables.TableFollower.Response;
+import org.rosemaryfront.tables.TableQuery.Sent;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRecords.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/CrashRecords.java
@@ -59,8 +59,8 @@
 		this.control = control;
 		this.callbacks = callbacks;
 		this.probes = new QuarantineProbes(rows, this.table, control, process, this::review);
-		this.store = new CrashStore(rows, this.table, this.probes, control, process,
-				new CrashStore.Updates((evidence, nowNanos) -> evidenceAdded(evidence, "store", nowNanos), this::review));
+		this.store = new CrashStore(rows, this.table, this.probes, control, process, new CrashStore.Updates(
+				(evidence, nowNanos) -> evidenceAdded(evidence, "store", nowNanos), this::review));
 	}
 
 	// -- queries
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/DutyLease.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/DutyLease.java
@@ -8,9 +8,9 @@
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.lease.LeaseCommand;
 import org.rosemaryfront.lease.LeaseEvent;
-import org.rosemaryfront.lease.LeaseStateMachine;
 import org.rosemaryfront.lease.LeaseRow;
 import org.rosemaryfront.lease.LeaseRowCodec;
+import org.rosemaryfront.lease.LeaseStateMachine;
 import org.rosemaryfront.lease.LeaseTiming;
 import org.rosemaryfront.model.Verdict;
 import org.rosemaryfront.ports.RowStore;
@@ -55,8 +55,8 @@
 	 */
 	private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(1);
 
-	private static final LeaseTiming TERMS = new LeaseTiming(TERM.toNanos(), MARGIN.toNanos(), RENEWAL_INTERVAL.toNanos(),
-			READ_INTERVAL.toNanos(), RETRY_DELAY.toNanos(), RESPONSE_TIMEOUT.toNanos());
+	private static final LeaseTiming TERMS = new LeaseTiming(TERM.toNanos(), MARGIN.toNanos(),
+			RENEWAL_INTERVAL.toNanos(), READ_INTERVAL.toNanos(), RETRY_DELAY.toNanos(), RESPONSE_TIMEOUT.toNanos());
 
 	private static final String TABLE = "leases";
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayControl.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayControl.java
@@ -15,8 +15,8 @@
 import org.rosemaryfront.dispatch.BackendServer;
 import org.rosemaryfront.dispatch.BackendTable;
 import org.rosemaryfront.dispatch.Dispatcher;
-import org.rosemaryfront.dispatch.Dispatcher.Choice;
 import org.rosemaryfront.dispatch.Dispatcher.CallRequirements;
+import org.rosemaryfront.dispatch.Dispatcher.Choice;
 import org.rosemaryfront.dispatch.RetryBudget;
 import org.rosemaryfront.duties.UsageLedger;
 import org.rosemaryfront.events.EventLog;
@@ -281,8 +281,8 @@
 		long age = (nowNanos - call.receivedNanos()) / NANOS_PER_MILLI;
 		Optional<Prompt> prompt = call.metadata().prompt();
 		return new CallRequirements(call.service(), progress.prefix(), engine(call.service()),
-				prompt.map(Prompt::unsharedTokens).orElse(0),
-				CallRequirements.remainingMillis(call.route().targetMillis() - age, call.remainingMillis(nowNanos), progress.ran()),
+				prompt.map(Prompt::unsharedTokens).orElse(0), CallRequirements
+					.remainingMillis(call.route().targetMillis() - age, call.remainingMillis(nowNanos), progress.ran()),
 				call.priority());
 	}
 
@@ -305,11 +305,12 @@
 				call.digest().map(RequestDigest::toString).orElse("none"), "route", call.route().name(), "organisation",
 				call.organisation().map(Organisation::name).orElse("none"), "units", Math.round(progress.units()),
 				"quota", progress.quotaUsage(), "gateways", progress.sharingGateways(), "parts",
-				call.metadata().prompt().map(Prompt::segmentList).orElse("none"), "targetMillis", call.route().targetMillis(),
-				"server", server.id(), "zone", server.zone(), "load", chosen.load(), "unreadTokens",
-				chosen.uncachedTokens(), "fetchFrom", chosen.transferSource().map(BackendServer::id).orElse("none"),
-				"expectedMillis", chosen.expectedMillis(), "candidates", chosen.candidates(), "version",
-				server.version(), "serversVersion", this.serversVersion, "serversAgeMillis",
+				call.metadata().prompt().map(Prompt::segmentList).orElse("none"), "targetMillis",
+				call.route().targetMillis(), "server", server.id(), "zone", server.zone(), "load", chosen.load(),
+				"unreadTokens", chosen.uncachedTokens(), "fetchFrom",
+				chosen.transferSource().map(BackendServer::id).orElse("none"), "expectedMillis",
+				chosen.expectedMillis(), "candidates", chosen.candidates(), "version", server.version(),
+				"serversVersion", this.serversVersion, "serversAgeMillis",
 				(nowNanos - this.serversUpdatedNanos) / NANOS_PER_MILLI, "serversProvenMillis",
 				serversConfirmedMillis(nowNanos), "serversProvenBy", this.serversFreshness.source(), "configuration",
 				this.configuration.map(TrafficConfiguration::version).orElse(0L), "remainingMillis",
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayProcess.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayProcess.java
@@ -216,8 +216,9 @@
 		this.reports = new GatewayReports(this.peers, this.fleet, this.servers, this.quotas, this.decisions, this.usage,
 				this.usageDuty, this.crashes, this.lease, this.tables, this.rollouts, this.rolloutDuty, settings);
 		this.sizeDuty = new SizeDuty(this.servers,
-				(service) -> this.decisions.dispatcher().model(service).prefillTokensPerMilli(), this.rollouts::countsTowardsCapacity,
-				platform.duties(), settings.zones(), this::onControl, this.lease::giveUp);
+				(service) -> this.decisions.dispatcher().model(service).prefillTokensPerMilli(),
+				this.rollouts::countsTowardsCapacity, platform.duties(), settings.zones(), this::onControl,
+				this.lease::giveUp);
 		this.metrics.gauge("log.dropped", EventLog::dropped);
 		this.metrics.gauge("control.lag.millis", () -> this.control.lagNanos() / NANOS_PER_MILLI);
 		this.metrics.gauge("servers.proven.millis", () -> confirmationAgeMillis(this.serversTable));
@@ -226,8 +227,8 @@
 		// Opened last, because its requests use all other components.
 		this.admin = AdminServer.open(loops, settings, this::isReady, this.metrics.registry(),
 				Map.of(platform.records().configuration().table(), this.configurationTable,
-						platform.records().serversTable(), this.serversTable, GatewayDirectory.TABLE, this.gatewaysTable,
-						CrashRows.TABLE, this.crashesTable),
+						platform.records().serversTable(), this.serversTable, GatewayDirectory.TABLE,
+						this.gatewaysTable, CrashRows.TABLE, this.crashesTable),
 				new QuarantineOperations());
 	}
 
@@ -371,7 +372,8 @@
 		this.crashes.tick(now);
 		this.tables.tick(now);
 		this.reportAwaited |= this.crashes.isUrgent() || this.tables.isUrgent(now);
-		if (now - this.lastReportNanos >= (this.reportAwaited ? MIN_REPORT_INTERVAL_NANOS : this.fleet.reportIntervalNanos())) {
+		if (now - this.lastReportNanos >= (this.reportAwaited ? MIN_REPORT_INTERVAL_NANOS
+				: this.fleet.reportIntervalNanos())) {
 			this.lastReportNanos = now;
 			this.reportAwaited = false;
 			this.reports.send(false, now);
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayReports.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/GatewayReports.java
@@ -198,7 +198,9 @@
 			this.lease.heldElsewhere(now);
 		}
 		report.getSpeedsList()
-			.forEach((speed) -> this.decisions.dispatcher().model(speed.getService()).adoptCoefficients(speed.getRatesList()));
+			.forEach((speed) -> this.decisions.dispatcher()
+				.model(speed.getService())
+				.adoptCoefficients(speed.getRatesList()));
 		this.usageDuty.receiveCurrentCounts(report.getWindow(), process, startedCalls);
 		report.getUnwrittenList()
 			.forEach((row) -> this.usageDuty.receiveUnwritten(row.getWindow(), row.getRow(),
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PauseDetector.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/PauseDetector.java
@@ -42,7 +42,8 @@
 			return new Observation.Suspended(wallClockMillis, monotonicMillis);
 		}
 		long millis = Math.max(wallClockMillis, monotonicMillis);
-		return (millis > MIN_PAUSE_MILLIS) ? new Observation.Paused(millis, monotonicMillis) : new Observation.Running();
+		return (millis > MIN_PAUSE_MILLIS) ? new Observation.Paused(millis, monotonicMillis)
+				: new Observation.Running();
 	}
 
 	/** What happened between two checks. */
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RolloutDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/RolloutDuty.java
@@ -129,7 +129,8 @@
 		EventLog.info(GatewayEvents.ROLLOUT_PHASE, "service", rollout.order().service(), "to", state.to(), "number",
 				state.number(), "phase", state.phase(), "verdict", rollout.verdict(), "sinceMillis",
 				System.currentTimeMillis() - state.sinceMillis(), "durationMillis", rollout.order().durationMillis(),
-				"freshServers", counts.candidate(), "oldServers", counts.baseline(), "oldCalls", counts.baselineCalls());
+				"freshServers", counts.candidate(), "oldServers", counts.baseline(), "oldCalls",
+				counts.baselineCalls());
 	}
 
 	private RolloutPlan.ServerCounts serverCounts(Rollout rollout) {
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/Rollouts.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/Rollouts.java
@@ -52,8 +52,8 @@
 	void ordered(RolloutOrder order) {
 		if (this.table.addOrder(order)) {
 			this.references.put(order.service(), LatencyBaseline.empty());
-			EventLog.info(GatewayEvents.ROLLOUT_ORDERED, "service", order.service(), "to", order.targetVersion(), "durationMillis",
-					order.durationMillis(), "number", order.number());
+			EventLog.info(GatewayEvents.ROLLOUT_ORDERED, "service", order.service(), "to", order.targetVersion(),
+					"durationMillis", order.durationMillis(), "number", order.number());
 		}
 	}
 
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SizeDuty.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/SizeDuty.java
@@ -12,11 +12,11 @@
 
 import org.rosemaryfront.dispatch.BackendServer;
 import org.rosemaryfront.dispatch.BackendTable;
-import org.rosemaryfront.duties.PoolSize;
-import org.rosemaryfront.duties.ScalingOrders;
 import org.rosemaryfront.duties.CapacityPlanner;
 import org.rosemaryfront.duties.CapacityPlanner.Demand;
 import org.rosemaryfront.duties.CapacityPlanner.ZoneSize;
+import org.rosemaryfront.duties.PoolSize;
+import org.rosemaryfront.duties.ScalingOrders;
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.ports.Duties;
 import org.rosemaryfront.ports.StoreException;
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/TableWatch.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/gateway/TableWatch.java
@@ -24,11 +24,11 @@
 import org.rosemaryfront.ports.RowStore.Row;
 import org.rosemaryfront.ports.StoreException;
 import org.rosemaryfront.tables.FreshnessLimits;
-import org.rosemaryfront.tables.TableQuery;
-import org.rosemaryfront.tables.TableQuery.Sent;
 import org.rosemaryfront.tables.Role;
 import org.rosemaryfront.tables.TableFollower;
 import org.rosemaryfront.tables.TableFollower.Response;
+import org.rosemaryfront.tables.TableQuery;
+import org.rosemaryfront.tables.TableQuery.Sent;
 
 /**
  * Follows one table: sends the queries that {@link TableFollower} requests to the store
@@ -224,7 +224,8 @@
 		if (this.closed) {
 			return;
 		}
-		Response result = this.follower.responseReceived(sent, page.version(), !page.rows().isEmpty(), System.nanoTime());
+		Response result = this.follower.responseReceived(sent, page.version(), !page.rows().isEmpty(),
+				System.nanoTime());
 		logRecovery(result.failuresBefore());
 		logOutdated(result.outdated(), page.version());
 		result.lostFeed().ifPresent(this::abandonFeed);
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/CallMetadata.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/CallMetadata.java
@@ -15,15 +15,16 @@
  * @param key the caller's API key
  * @param prompt the prompt of a call to a model
  */
-public record CallMetadata(String requestId, OptionalLong remainingMillis, Optional<String> key, Optional<Prompt> prompt) {
+public record CallMetadata(String requestId, OptionalLong remainingMillis, Optional<String> key,
+		Optional<Prompt> prompt) {
 
 	/**
 	 * The size and the segments of a prompt.
 	 *
 	 * @param promptTokens the number of tokens of the prompt
 	 * @param maxResponseTokens the maximum number of tokens of the response
-	 * @param segments the segments of the prompt in order; the last one is specific to this
-	 * call
+	 * @param segments the segments of the prompt in order; the last one is specific to
+	 * this call
 	 */
 	public record Prompt(int promptTokens, int maxResponseTokens, List<Segment> segments) {
 
@@ -37,7 +38,8 @@
 		 */
 		public PromptPrefix sharedPrefix() {
 			List<Segment> shared = this.segments.subList(0, Math.max(0, this.segments.size() - 1));
-			return PromptPrefix.of(shared.stream().map(Segment::id).toList(), shared.stream().map(Segment::tokens).toList());
+			return PromptPrefix.of(shared.stream().map(Segment::id).toList(),
+					shared.stream().map(Segment::tokens).toList());
 		}
 
 		/**
@@ -45,7 +47,9 @@
 		 * @return identifiers with sizes, in order
 		 */
 		public String segmentList() {
-			return this.segments.stream().map((part) -> part.id() + ":" + part.tokens()).collect(Collectors.joining(","));
+			return this.segments.stream()
+				.map((part) -> part.id() + ":" + part.tokens())
+				.collect(Collectors.joining(","));
 		}
 
 		/**
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/ForwardingMetadata.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/ports/ForwardingMetadata.java
@@ -13,8 +13,8 @@
  * @param resumeAfter the identifier of the last event that the caller received, when a
  * stream is resumed
  * @param priority the priority of the call, 0 for the most urgent; empty for the default
- * @param kvCacheSource the address of a server that has the prompt's shared segments cached;
- * their KV cache entries are transferred from it instead of being prefilled again
+ * @param kvCacheSource the address of a server that has the prompt's shared segments
+ * cached; their KV cache entries are transferred from it instead of being prefilled again
  */
 public record ForwardingMetadata(long remainingMillis, String serverId, Optional<String> organisation,
 		Optional<String> resumeAfter, OptionalInt priority, Optional<String> kvCacheSource) {
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Call.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Call.java
@@ -20,9 +20,9 @@
 import org.rosemaryfront.dispatch.BackendServer;
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.model.Verdict;
-import org.rosemaryfront.ports.ResponseMetadata;
 import org.rosemaryfront.ports.CallMetadata;
 import org.rosemaryfront.ports.ForwardingMetadata;
+import org.rosemaryfront.ports.ResponseMetadata;
 import org.rosemaryfront.routes.CallKind;
 import org.rosemaryfront.routes.Organisation;
 import org.rosemaryfront.routes.Route;
@@ -482,8 +482,9 @@
 
 	private HttpRequest serverRequest() {
 		long remaining = Math.max(1, remainingMillis(System.nanoTime()));
-		ForwardingMetadata metadata = new ForwardingMetadata(remaining, serverId(), this.organisation.map(Organisation::name),
-				this.eventFramer.flatMap(EventFramer::lastId), OptionalInt.of(priority()), this.kvCacheSource);
+		ForwardingMetadata metadata = new ForwardingMetadata(remaining, serverId(),
+				this.organisation.map(Organisation::name), this.eventFramer.flatMap(EventFramer::lastId),
+				OptionalInt.of(priority()), this.kvCacheSource);
 		OptionalLong length = this.bodyComplete ? OptionalLong.of(this.bodyBytes) : OptionalLong.empty();
 		return ServerRequest.of(this.head, length, this.gateway.codec(), metadata);
 	}
@@ -708,8 +709,8 @@
 		logRefusal(status, Refusal.DEADLINE, retryAfterMillis);
 		this.caller.refuse(status, retryAfterMillis);
 		if (this.state == State.SENT) {
-			this.server
-				.ifPresent((unresponsive) -> this.gateway.pool().deadlinePassed(unresponsive.incarnation(), this.sentNanos));
+			this.server.ifPresent(
+					(unresponsive) -> this.gateway.pool().deadlinePassed(unresponsive.incarnation(), this.sentNanos));
 		}
 		finish((this.state == State.SENT) ? Ending.TIMED_OUT : Ending.ABANDONED);
 	}
--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ServerConnection.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/ServerConnection.java
@@ -16,8 +16,8 @@
 import io.netty.util.ReferenceCountUtil;
 
 import org.rosemaryfront.events.EventLog;
-import org.rosemaryfront.ports.ResponseMetadata;
 import org.rosemaryfront.ports.CallCodec;
+import org.rosemaryfront.ports.ResponseMetadata;
 
 /**
  * A connection to a backend server with at most one call at a time.
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultyServerTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/FaultyServerTests.java
@@ -119,7 +119,8 @@
 				default -> exchange.reset();
 			}
 		};
-		try (ScriptedServer _ = this.gateway.startServer(script); ScriptedServer second = ScriptedServer.start(script)) {
+		try (ScriptedServer _ = this.gateway.startServer(script);
+				ScriptedServer second = ScriptedServer.start(script)) {
 			this.gateway.register("s2", second);
 			this.gateway.ready();
 			Response response = this.gateway.send(RawCaller.post("c1", path, "x"));
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ForwardingTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ForwardingTests.java
@@ -88,8 +88,9 @@
 			for (int i = 0; i < 10; i++) {
 				body.append(Integer.toHexString(chunk.length())).append("\r\n").append(chunk).append("\r\n");
 			}
-			Response response = this.gateway.send("POST /visits/ HTTP/1.1\r\nHost: a.example\r\nCall: c1\r\nKey: key-1\r\n"
-					+ "Transfer-Encoding: chunked\r\n\r\n" + body + "0\r\n\r\n");
+			Response response = this.gateway
+				.send("POST /visits/ HTTP/1.1\r\nHost: a.example\r\nCall: c1\r\nKey: key-1\r\n"
+						+ "Transfer-Encoding: chunked\r\n\r\n" + body + "0\r\n\r\n");
 			assertThat(response.status()).isEqualTo(200);
 			assertThat(server.requests().getFirst().body()).isEqualTo(chunk.repeat(10));
 		}
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayHarness.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/GatewayHarness.java
@@ -157,7 +157,8 @@
 	}
 
 	static Organisation organisation(double unitsPerSecond) {
-		return new Organisation("sfax", List.of("key-1"), OptionalInt.empty(), unitsPerSecond, 1, QuotaUnit.REQUESTS, 1);
+		return new Organisation("sfax", List.of("key-1"), OptionalInt.empty(), unitsPerSecond, 1, QuotaUnit.REQUESTS,
+				1);
 	}
 
 	private static Route route(String name, String prefix, CallKind kind, int attempts, boolean resumable,
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PlainCodecs.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/PlainCodecs.java
@@ -11,13 +11,13 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 import org.rosemaryfront.dispatch.BackendServer;
-import org.rosemaryfront.ports.ResponseMetadata;
 import org.rosemaryfront.ports.CallCodec;
 import org.rosemaryfront.ports.CallMetadata;
-import org.rosemaryfront.ports.CallMetadata.Segment;
 import org.rosemaryfront.ports.CallMetadata.Prompt;
+import org.rosemaryfront.ports.CallMetadata.Segment;
 import org.rosemaryfront.ports.ForwardingMetadata;
 import org.rosemaryfront.ports.RecordCodec;
+import org.rosemaryfront.ports.ResponseMetadata;
 import org.rosemaryfront.rollout.Phase;
 import org.rosemaryfront.rollout.RolloutOrder;
 import org.rosemaryfront.routes.TrafficConfiguration;
@@ -73,7 +73,8 @@
 
 	@Override
 	public ResponseMetadata responseMetadata(int status, HttpHeaders headers) {
-		return new ResponseMetadata(headers.get("Call", ""), headers.contains("Signature"), headers.contains("Not-Run"));
+		return new ResponseMetadata(headers.get("Call", ""), headers.contains("Signature"),
+				headers.contains("Not-Run"));
 	}
 
 	@Override
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SizeDutyTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/SizeDutyTests.java
@@ -39,7 +39,8 @@
 	@Test
 	void shouldOrderReclaimableServersWhenThereIsNoPlanYet() {
 		act(0);
-		assertThat(this.duties.sizes()).containsExactly(new PoolSize("llm", "a", 2, true), new PoolSize("llm", "b", 2, true));
+		assertThat(this.duties.sizes()).containsExactly(new PoolSize("llm", "a", 2, true),
+				new PoolSize("llm", "b", 2, true));
 	}
 
 	// The running servers were released before their replacements served, which left no
@@ -131,8 +132,8 @@
 	}
 
 	private void register(String id, String zone, boolean reclaimable) {
-		this.servers.recordRegistration(new BackendServer(id, 0, "llm", "v1", "127.0.0.1:1", zone, 64, false, reclaimable, 0),
-				0);
+		this.servers.recordRegistration(
+				new BackendServer(id, 0, "llm", "v1", "127.0.0.1:1", zone, 64, false, reclaimable, 0), 0);
 	}
 
 	private void act(int second) {
