--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/BroadcastQueue.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/BroadcastQueue.java
@@ -22,21 +22,21 @@
 	/**
 	 * Passes a change on from now on.
 	 * @param key the change
-	 * @param sentBefore how often it counts as sent already; more for what reaches the
-	 * others in other ways too
+	 * @param initialTransmissions how often it counts as sent already; more for what
+	 * reaches the others in other ways too
 	 */
-	void add(K key, int sentBefore) {
+	void add(K key, int initialTransmissions) {
 		remove(key);
-		put(key, Math.max(0, sentBefore));
+		put(key, Math.max(0, initialTransmissions));
 	}
 
 	/**
 	 * Chooses changes for one datagram and counts them as sent.
 	 * @param limit how many at most
-	 * @param retransmissions how often a change is sent before it is dropped
+	 * @param limitPerChange how often a change is sent before it is dropped
 	 * @return the changes
 	 */
-	List<K> take(int limit, int retransmissions) {
+	List<K> take(int limit, int limitPerChange) {
 		List<K> chosen = new ArrayList<>();
 		for (LinkedHashSet<K> bucket : this.byTransmissions) {
 			Iterator<K> keys = bucket.iterator();
@@ -46,7 +46,7 @@
 		}
 		for (K key : chosen) {
 			int times = remove(key) + 1;
-			if (times < retransmissions) {
+			if (times < limitPerChange) {
 				put(key, times);
 			}
 		}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/SuspicionTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/SuspicionTable.java
@@ -20,8 +20,8 @@
 		this.rows.putIfAbsent(record.id(), new Suspicion(record.id(), record.incarnation(), deadline));
 	}
 
-	void extend(long nanos) {
-		this.rows.replaceAll((_, suspicion) -> suspicion.extended(nanos));
+	void extend(long extensionNanos) {
+		this.rows.replaceAll((_, suspicion) -> suspicion.extended(extensionNanos));
 	}
 
 	void remove(MemberId id) {
@@ -51,8 +51,8 @@
 	 */
 	record Suspicion(MemberId id, long incarnation, long deadline) {
 
-		Suspicion extended(long nanos) {
-			return new Suspicion(this.id, this.incarnation, this.deadline + nanos);
+		Suspicion extended(long extensionNanos) {
+			return new Suspicion(this.id, this.incarnation, this.deadline + extensionNanos);
 		}
 
 	}
