--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimCommand.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimCommand.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /**
- * What must be done for a claimed call. At most one {@link Write} or {@link Read} is open
- * at a time, and each is answered by exactly one event.
+ * Action to perform for a claimed call. At most one {@link Write} or {@link Read} is
+ * outstanding at a time, and each results in exactly one event.
  */
 public sealed interface ClaimCommand {
 
 	/**
-	 * Drop the attempt and its connection; no byte may go out after it.
+	 * Abort the attempt and close its connection; no byte may be sent afterwards.
 	 *
 	 * @param attempt the number of the attempt
 	 */
@@ -24,7 +24,7 @@
 	record Connect(int attempt) implements ClaimCommand {
 	}
 
-	/** The machine is finished: forget it. */
+	/** The machine is finished and can be discarded. */
 	record Finish() implements ClaimCommand {
 	}
 
@@ -41,9 +41,9 @@
 	}
 
 	/**
-	 * Answer the caller.
+	 * Send the final response to the caller.
 	 *
-	 * @param reply the final answer
+	 * @param reply the final response
 	 */
 	record Reply(ClaimReply reply) implements ClaimCommand {
 
@@ -54,9 +54,9 @@
 	}
 
 	/**
-	 * Report a broken invariant.
+	 * Report a violated invariant.
 	 *
-	 * @param invariant what should have held
+	 * @param invariant the violated invariant
 	 */
 	record Report(String invariant) implements ClaimCommand {
 
@@ -67,9 +67,9 @@
 	}
 
 	/**
-	 * Write the row of the key on a condition.
+	 * Write the row of the key if it has the expected version.
 	 *
-	 * @param version the version that the row must have, 0 when there must be none
+	 * @param version the expected version of the row, 0 when no row may exist
 	 * @param row the new row
 	 */
 	record Write(long version, ClaimRow row) implements ClaimCommand {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimEvent.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimEvent.java
@@ -4,22 +4,22 @@
 import java.util.Optional;
 
 /**
- * What happened to a claimed call.
+ * Input to {@link ClaimMachine}.
  */
 public sealed interface ClaimEvent {
 
 	// -- table service
 
-	/** A read gave no answer. */
+	/** A read failed or timed out. */
 	record ReadFailed() implements ClaimEvent {
 	}
 
 	/**
-	 * A read was answered.
+	 * A read succeeded.
 	 *
 	 * @param row the row, empty when there is none
 	 * @param version its version, 0 when there is none
-	 * @param holderEnded whether the entry that holds it certainly serves it no more
+	 * @param holderEnded whether the request that holds the claim has certainly ended
 	 */
 	record RowRead(Optional<ClaimRow> row, long version, boolean holderEnded) implements ClaimEvent {
 
@@ -33,18 +33,18 @@
 	record WriteConflicted() implements ClaimEvent {
 	}
 
-	/** A write certainly has no effect, now or later. */
+	/** A write certainly did not take effect and never will. */
 	record WriteRefused() implements ClaimEvent {
 	}
 
-	/** A write may have taken effect, or may yet. */
+	/** A write may have taken effect or may still take effect. */
 	record WriteUncertain() implements ClaimEvent {
 	}
 
 	/**
 	 * A write took effect.
 	 *
-	 * @param version the version of the row
+	 * @param version the new version of the row
 	 */
 	record Written(long version) implements ClaimEvent {
 	}
@@ -52,10 +52,10 @@
 	// -- backend server
 
 	/**
-	 * The backend server answered.
+	 * The backend server responded.
 	 *
 	 * @param attempt the number of the attempt
-	 * @param outcome its answer
+	 * @param outcome its response
 	 */
 	record Answered(int attempt, ClaimOutcome outcome) implements ClaimEvent {
 
@@ -66,7 +66,7 @@
 	}
 
 	/**
-	 * The attempt ended without an answer after something was sent.
+	 * The attempt ended without a response after something was sent.
 	 *
 	 * @param attempt the number of the attempt
 	 */
@@ -74,8 +74,8 @@
 	}
 
 	/**
-	 * The attempt certainly did not run: nothing was sent, or the backend server refused
-	 * it.
+	 * The attempt certainly did not run, because nothing was sent or the backend server
+	 * refused it.
 	 *
 	 * @param attempt the number of the attempt
 	 * @param retry whether another backend server may be tried
@@ -84,16 +84,16 @@
 	}
 
 	/**
-	 * A new connection is open and the first byte could be sent.
+	 * A new connection is open and the first byte can be sent.
 	 *
 	 * @param attempt the number of the attempt
 	 */
 	record ReadyToSend(int attempt) implements ClaimEvent {
 	}
 
-	// -- time
+	// -- timer
 
-	/** The time asked for has come. */
+	/** The time returned by {@link ClaimMachine#wakeAt()} has been reached. */
 	record Woken() implements ClaimEvent {
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimMachine.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimMachine.java
@@ -9,8 +9,8 @@
 import org.rosemaryfront.model.Problem;
 
 /**
- * The decisions on one request of a call that must run at most once. Deterministic: no
- * input or output, the time is passed in. Used by one thread only.
+ * State machine of one request of a call that must run at most once. Deterministic:
+ * performs no input or output; the time is passed in. Must be used by one thread only.
  *
  * <pre>
  * ClaimMachine machine = ClaimMachine.of(token, vm, fingerprint, times, now);
@@ -19,10 +19,11 @@
  * </pre>
  *
  * <p>
- * The request claims the key by a conditional write, runs, and settles the claim: stored
- * when an answer came, unknown when something was sent and no answer came, voided when
- * nothing ran. Nobody but the request that wrote a claim may void it, so a key can run
- * again only after the one that held it proved that it did not run.
+ * The request claims the idempotency key by a conditional write, runs, and settles the
+ * claim: stored when a response arrived, unknown when something was sent and no response
+ * arrived, voided when nothing ran. Only the request that wrote a claim may void it, so a
+ * call can run again under the same key only after the request that held the key
+ * established that it did not run.
  */
 public final class ClaimMachine {
 
@@ -46,10 +47,13 @@
 
 	private Operation operation = Operation.NONE;
 
-	/** The version on which the claim is conditional. */
+	/** The row version that the claim write expects. */
 	private long expectedVersion;
 
-	/** The version of the own row, known while {@link ClaimOwnership#CONFIRMED}. */
+	/**
+	 * The version of the row of this request, known while
+	 * {@link ClaimOwnership#CONFIRMED}.
+	 */
 	private long ownVersion;
 
 	private boolean keyTaken;
@@ -80,11 +84,11 @@
 
 	/**
 	 * Creates the machine of a request.
-	 * @param token names the request, unique for ever
-	 * @param vm the VM of this entry
-	 * @param fingerprint what a repeat must share
-	 * @param times its times
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
+	 * @param token the token that identifies the request, never reused
+	 * @param vm the VM of this entry process
+	 * @param fingerprint the fingerprint of the call, which a repeat must match
+	 * @param times the time limits of the call
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the machine
 	 */
 	public static ClaimMachine of(String token, String vm, String fingerprint, ClaimTimes times, long nowNanos) {
@@ -98,10 +102,10 @@
 	// -- events
 
 	/**
-	 * Takes an event.
+	 * Processes an event.
 	 * @param event what happened
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
-	 * @return what must be done, in order
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the commands to execute, in order
 	 */
 	public List<ClaimCommand> accept(ClaimEvent event, long nowNanos) {
 		Objects.requireNonNull(event, "event is null");
@@ -128,8 +132,8 @@
 	}
 
 	/**
-	 * Begins with the claim.
-	 * @return what must be done, in order
+	 * Starts by writing the claim.
+	 * @return the commands to execute, in order
 	 */
 	public List<ClaimCommand> start() {
 		writeClaim();
@@ -139,23 +143,23 @@
 	// -- queries
 
 	/**
-	 * Whether the caller has its final answer.
-	 * @return true after the reply was commanded
+	 * Returns whether the final response was issued.
+	 * @return true after {@link ClaimCommand.Reply} was issued
 	 */
 	public boolean answered() {
 		return this.answered;
 	}
 
 	/**
-	 * Whether nothing is left to do.
-	 * @return true after the claim is settled and the caller answered
+	 * Returns whether nothing is left to do.
+	 * @return true after the claim was settled and the final response issued
 	 */
 	public boolean finished() {
 		return this.goal == Goal.FINISHED;
 	}
 
 	/**
-	 * When the machine must be woken.
+	 * Returns when {@link ClaimEvent.Woken} must be passed in next.
 	 * @return the time on the monotonic clock, in nanoseconds
 	 */
 	public long wakeAt() {
@@ -204,9 +208,10 @@
 		}
 	}
 
-	// An answer that got lost looks like a write that failed. Taking it for a failure
-	// leaves the key claimed by nobody's knowledge: the caller reads not-run and each
-	// repeat waits for a call that nobody makes. The row tells by the token who wrote it.
+	// A lost response looks like a failed write. If it were treated as a failure, the key
+	// could stay claimed unnoticed: the caller would receive not-run, and each repeat
+	// would wait for a call that is never sent. The token in the row shows which request
+	// wrote it.
 	private void writeUncertain() {
 		Operation completed = endOperation();
 		if (completed == Operation.MARK_UNKNOWN) {
@@ -256,8 +261,9 @@
 		}
 	}
 
-	// The own write has not taken effect and still may: it is conditional on the version
-	// that the row still has. Writing again on that condition settles it either way.
+	// The write of this request has not taken effect and still may, because the row still
+	// has the version that it expects. Writing again with the same expected version
+	// settles it either way.
 	private void unchangedRow(ClaimEvent.RowRead read, long nowNanos) {
 		if (this.goal == Goal.CLAIM && this.ownership == ClaimOwnership.NONE) {
 			evaluateRow(read, nowNanos);
@@ -265,7 +271,8 @@
 	}
 
 	private void otherRow(ClaimEvent.RowRead read, long nowNanos) {
-		// After a void whose answer got lost the key may already be another request's.
+		// After a void write whose response was lost, another request may hold the key
+		// already.
 		boolean voiding = this.targetRow.filter((row) -> row instanceof ClaimRow.Voided).isPresent();
 		if (this.ownership == ClaimOwnership.CONFIRMED && !voiding) {
 			this.commands.add(new ClaimCommand.Report("a claim belongs to the request that wrote it"));
@@ -286,8 +293,8 @@
 			return;
 		}
 		ClaimRow row = read.row().get();
-		// Two bookings under one key: answering the second with the outcome of the first
-		// would confirm a visit that nobody booked.
+		// Two different calls use one key. Returning the outcome of the first for the
+		// second would, for example, confirm a booking that was never made.
 		if (!row.fingerprint().equals(this.fingerprint)) {
 			fail(ClaimProblems.keyReused());
 			return;
@@ -316,11 +323,10 @@
 		this.commands.add(new ClaimCommand.Connect(this.attempt));
 	}
 
-	// A process can be paused between its claim and the first byte, for longer than the
-	// call may take. The caller and the repeats then have their answers, so the call
-	// must not go out any more. The check is made on the monotonic clock right before
-	// the first byte, and from here on the call counts as sent whatever the process
-	// does.
+	// The process can be paused between its claim and the first byte for longer than the
+	// call may take. The caller and the repeats have their responses by then, so the call
+	// must no longer be sent. The monotonic clock is checked immediately before the first
+	// byte, and from here on the call counts as sent, whatever happens to the process.
 	private void readyToSend(ClaimEvent.ReadyToSend ready, long nowNanos) {
 		boolean current = this.goal == Goal.RUN && ready.attempt() == this.attempt && !this.sent;
 		if (!current || nowNanos >= nanosAfterArrival(this.times.sendMillis())) {
@@ -361,7 +367,7 @@
 		}
 	}
 
-	// -- time
+	// -- deadlines
 
 	private void checkDeadlines(long nowNanos) {
 		if (this.answered || nowNanos < nanosAfterArrival(deadlineMillis())) {
@@ -404,15 +410,16 @@
 		};
 	}
 
-	// -- giving up
+	// -- failures
 
 	private void storageFailed() {
 		fail(this.keyTaken ? ClaimProblems.earlierUnreadable() : ClaimProblems.notClaimed());
 	}
 
-	// The refusal is true at once, since nothing was sent and nothing will be. The claim
-	// may stand or yet take effect, and would keep each repeat from running; so it is
-	// voided, and the write is tried until its effect is known.
+	// The failure can be reported immediately, because nothing was sent and nothing will
+	// be. The claim may have taken effect or may still do so, and would keep each repeat
+	// from running. It is therefore voided, and that write is retried until its effect is
+	// known.
 	private void fail(Problem problem) {
 		reply(new ClaimReply.Failed(problem));
 		voidClaim();
@@ -439,7 +446,7 @@
 		}
 	}
 
-	// -- next step
+	// -- next operation
 
 	private void proceed(long nowNanos) {
 		if (this.goal == Goal.FINISHED) {
@@ -524,21 +531,21 @@
 
 	// -- states
 
-	/** What the machine works towards. */
+	/** The current goal of the machine. */
 	private enum Goal {
 
 		CLAIM, RUN, SETTLE, FINISHED
 
 	}
 
-	/** What is known of the own claim. */
+	/** Whether the claim of this request took effect. */
 	private enum ClaimOwnership {
 
 		NONE, UNCERTAIN, CONFIRMED
 
 	}
 
-	/** The operation of the table service that is open or due. */
+	/** The table service operation that is outstanding or due. */
 	private enum Operation {
 
 		NONE, CLAIM, MARK_UNKNOWN, READ, READ_DUE, SETTLE
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimOutcome.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimOutcome.java
@@ -7,12 +7,12 @@
 import java.util.TreeMap;
 
 /**
- * The answer of a backend server as it is kept for repeats.
+ * Response of a backend server as stored for repeats.
  *
  * @param status the HTTP status
- * @param headers the headers of interest, in lower case
- * @param body the body in Base64, empty when it is not kept
- * @param bodyKept whether the body is kept; a body over the limit is not
+ * @param headers the stored headers, with names in lower case
+ * @param body the body in Base64, empty when it is not stored
+ * @param bodyKept whether the body is stored; a body over the size limit is not
  */
 public record ClaimOutcome(int status, SortedMap<String, String> headers, String body, boolean bodyKept) {
 
@@ -24,9 +24,9 @@
 	// -- factories
 
 	/**
-	 * An answer whose body is kept.
+	 * Creates an outcome with its body.
 	 * @param status the HTTP status
-	 * @param headers the headers of interest, in lower case
+	 * @param headers the stored headers, with names in lower case
 	 * @param body the body in Base64
 	 * @return the outcome
 	 */
@@ -35,9 +35,9 @@
 	}
 
 	/**
-	 * An answer whose body is over the limit.
+	 * Creates an outcome whose body is over the size limit.
 	 * @param status the HTTP status
-	 * @param headers the headers of interest, in lower case
+	 * @param headers the stored headers, with names in lower case
 	 * @return the outcome
 	 */
 	public static ClaimOutcome withoutBody(int status, Map<String, String> headers) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimProblems.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimProblems.java
@@ -8,9 +8,9 @@
 import org.rosemaryfront.model.Verdict;
 
 /**
- * The reasons for which a claimed call is given up. A verdict speaks of the one request:
- * not-run says that this request sent nothing and never will. What is known of an earlier
- * request with the same key makes it may-have-run.
+ * Problems that end a claimed call without an outcome. A verdict refers to one request:
+ * not-run means that this request sent nothing and never will. The verdict is also
+ * may-have-run when an earlier request with the same key may have run the call.
  */
 final class ClaimProblems {
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimReply.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimReply.java
@@ -5,12 +5,12 @@
 import org.rosemaryfront.model.Problem;
 
 /**
- * The final answer to a caller.
+ * Final response to a caller.
  */
 public sealed interface ClaimReply {
 
 	/**
-	 * The call was given up.
+	 * The call ended without an outcome.
 	 *
 	 * @param problem the reason and the verdict
 	 */
@@ -23,10 +23,10 @@
 	}
 
 	/**
-	 * The call ran now.
+	 * This request ran the call.
 	 *
 	 * @param outcome its outcome
-	 * @param stored whether a repeat gets the same outcome
+	 * @param stored whether the outcome is stored, so that a repeat receives the same one
 	 */
 	record Ran(ClaimOutcome outcome, boolean stored) implements ClaimReply {
 
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * The call ran before, under an earlier request with the same key.
+	 * An earlier request with the same key ran the call.
 	 *
 	 * @param outcome its outcome
 	 */
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimRow.java
@@ -3,20 +3,20 @@
 import java.util.Objects;
 
 /**
- * The row of an idempotency key in the table service. The token names the one request
- * that wrote the claim; only that request may turn the row into {@link Stored} or
+ * Row of an idempotency key in the table service. The token identifies the request that
+ * wrote the claim; only that request may turn the row into {@link Stored} or
  * {@link Voided}.
  */
 public sealed interface ClaimRow {
 
 	/**
-	 * The fingerprint of the call that first used the key.
+	 * Returns the fingerprint of the call that first used the key.
 	 * @return the fingerprint
 	 */
 	String fingerprint();
 
 	/**
-	 * The token of the request that claimed the key.
+	 * Returns the token of the request that claimed the key.
 	 * @return the token
 	 */
 	String token();
@@ -24,10 +24,10 @@
 	// -- variants
 
 	/**
-	 * A request holds the key: it may be about to run, running or have run.
+	 * A request has claimed the key; it may be about to run, running or finished.
 	 *
 	 * @param token the token of the request
-	 * @param vm the VM of its entry
+	 * @param vm the VM of its entry process
 	 * @param fingerprint the fingerprint of the call
 	 * @param heldMillis the time after which the request has ended, in milliseconds since
 	 * the row was written
@@ -41,8 +41,8 @@
 		}
 
 		/**
-		 * The row when the request ended and left no outcome.
-		 * @return the same claim, of unknown outcome
+		 * Returns the row of a request that ended without an outcome.
+		 * @return the same claim with an unknown outcome
 		 */
 		public Unknown toUnknown() {
 			return new Unknown(this.token, this.fingerprint);
@@ -68,7 +68,7 @@
 	}
 
 	/**
-	 * The call may have run; it never runs again.
+	 * The call may have run and must not run again.
 	 *
 	 * @param token the token of the request that may have run
 	 * @param fingerprint the fingerprint of the call
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimTimes.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimTimes.java
@@ -1,15 +1,16 @@
 package org.rosemaryfront.claims;
 
 /**
- * The times of a claimed call, in milliseconds since its arrival unless said otherwise.
+ * Time limits of a claimed call, in milliseconds since its arrival unless stated
+ * otherwise.
  *
- * @param callMillis when the caller has its final answer at the latest
- * @param storeMillis the part of it kept for storing the outcome
- * @param sendMillis after which the call is not sent any more
- * @param waitMillis how long a repeat waits for the running call
- * @param pollMillis the time between two looks of a waiting repeat
- * @param retryMillis the time before a failed settling write is tried again; it doubles
- * up to sixteen times this
+ * @param callMillis the deadline of the final response to the caller
+ * @param storeMillis the part of callMillis reserved for storing the outcome
+ * @param sendMillis the time after which the call is no longer sent
+ * @param waitMillis how long a repeat waits for the outcome of an earlier request
+ * @param pollMillis the time between two reads of the row by a waiting repeat
+ * @param retryMillis the delay before the first retry of a failed settling write; it
+ * doubles up to sixteen times this value
  */
 public record ClaimTimes(long callMillis, long storeMillis, long sendMillis, long waitMillis, long pollMillis,
 		long retryMillis) {
@@ -22,7 +23,7 @@
 	}
 
 	/**
-	 * When the attempt at a backend server is given up.
+	 * Returns when the attempt at a backend server is aborted.
 	 * @return the time since the arrival, in milliseconds
 	 */
 	public long runMillis() {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/HolderLedger.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/HolderLedger.java
@@ -7,12 +7,13 @@
 import java.util.function.Predicate;
 
 /**
- * Remembers since when this process has seen other entries hold a claim.
+ * Tracks since when this process has observed each claim of another request.
  *
  * <p>
- * Clocks of two VMs differ, so a claim carries the length of its hold and not an end. A
- * claim seen for that long on the own monotonic clock was written longer ago than that,
- * so its request has ended whether its entry died or not.
+ * Clocks of two VMs differ, so a claim contains its maximum duration instead of an end
+ * time. A claim that was observed for that duration on the local monotonic clock was
+ * written longer ago than that, so its request has ended, whether its entry process is
+ * alive or not.
  */
 public final class HolderLedger {
 
@@ -36,19 +37,19 @@
 	}
 
 	/**
-	 * Creates an empty ledger.
-	 * @param terminated whether the process that wrote a claim is certainly gone
-	 * @return the ledger
+	 * Creates a tracker without observed claims.
+	 * @param terminated whether the process that wrote a claim has certainly terminated
+	 * @return the tracker
 	 */
 	public static HolderLedger of(Predicate<ClaimRow.Held> terminated) {
-		return new HolderLedger(Objects.requireNonNull(terminated, "gone is null"));
+		return new HolderLedger(Objects.requireNonNull(terminated, "terminated is null"));
 	}
 
 	/**
-	 * Whether the request that holds a claim has ended.
+	 * Returns whether the request that holds a claim has ended.
 	 * @param row the claim as read now
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
-	 * @return true when its process is gone or its time is over
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return true when its process has terminated or its maximum duration has passed
 	 */
 	public boolean ended(ClaimRow row, long nowNanos) {
 		if (!(row instanceof ClaimRow.Held held)) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/package-info.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/package-info.java
@@ -1,5 +1,5 @@
 /**
- * At-most-once calls: the claim on an idempotency key, kept in the table service, and the
- * decisions of the entry that holds it and of the entries that get a repeat.
+ * At-most-once calls: claims on idempotency keys, stored in the table service, and the
+ * decisions of the entry process that holds a claim and of those that receive a repeat.
  */
 package org.rosemaryfront.claims;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/BroadcastQueue.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/BroadcastQueue.java
@@ -8,10 +8,11 @@
 import java.util.Map;
 
 /**
- * The table of changes that are still passed on, with how often each was sent. Those sent
- * least go first, so that a new change is not held back by a wave of others.
+ * Queue of changes that are still sent to other members, with the number of transmissions
+ * of each. The least transmitted changes are sent first, so a burst of changes does not
+ * delay a new one.
  *
- * @param <K> what identifies a change
+ * @param <K> the type of the key that identifies a change
  */
 final class BroadcastQueue<K> {
 
@@ -20,10 +21,10 @@
 	private final Map<K, Integer> transmissions = new HashMap<>();
 
 	/**
-	 * Passes a change on from now on.
+	 * Adds a change, or resets its transmissions if it is queued already.
 	 * @param key the change
-	 * @param initialTransmissions how often it counts as sent already; more for what
-	 * reaches the others in other ways too
+	 * @param initialTransmissions the initial number of transmissions; above 0 for a
+	 * change that also reaches the other members in other ways
 	 */
 	void add(K key, int initialTransmissions) {
 		remove(key);
@@ -32,8 +33,8 @@
 
 	/**
 	 * Chooses changes for one datagram and counts them as sent.
-	 * @param limit how many at most
-	 * @param limitPerChange how often a change is sent before it is dropped
+	 * @param limit the maximum number of changes
+	 * @param limitPerChange the number of transmissions after which a change is removed
 	 * @return the changes
 	 */
 	List<K> take(int limit, int limitPerChange) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/CandidateTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/CandidateTable.java
@@ -10,16 +10,19 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * The table of addresses from the VM list that are asked whether a member is there. A
- * candidate that does not answer is asked ever more seldom, because the list lags and
- * names VMs that are long gone.
+ * Addresses from the VM list that are probed for a live member. The interval between
+ * probes of an unresponsive candidate doubles up to a maximum, because the list lags and
+ * contains VMs that were terminated long ago.
  */
 final class CandidateTable {
 
-	/** The time between two questions to different candidates; bounds a join to 20/s. */
+	/**
+	 * Minimum time between probes of different candidates; limits a joining member to 20
+	 * probes/s.
+	 */
 	private static final long SPACING_NANOS = Duration.ofMillis(50).toNanos();
 
-	/** The time until the table is searched again when nobody was due. */
+	/** Time until the table is searched again after a search found no candidate due. */
 	private static final long IDLE_INTERVAL_NANOS = Duration.ofMillis(500).toNanos();
 
 	private static final long INITIAL_RETRY_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
@@ -30,12 +33,10 @@
 
 	private long nextAt = Long.MIN_VALUE;
 
-	// -- changes
-
 	/**
-	 * Takes the VM list.
-	 * @param candidates the entry VMs listed
-	 * @param nowNanos the time
+	 * Replaces the candidates with those of the VM list.
+	 * @param candidates the entry VMs in the list
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void update(Collection<MembershipEvent.Candidate> candidates, long nowNanos) {
 		Map<VmId, Row> next = new TreeMap<>();
@@ -53,9 +54,9 @@
 	}
 
 	/**
-	 * Chooses the candidate to ask now and counts it as asked.
-	 * @param nowNanos the time
-	 * @param known whether a VM is known to run a member that answers
+	 * Chooses the candidate to probe now and schedules its next probe.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @param known whether the entry process of a VM is already a reachable member
 	 * @return its address, empty when none is due
 	 */
 	Optional<String> nextDue(long nowNanos, Predicate<VmId> known) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/DepartureNotice.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/DepartureNotice.java
@@ -5,11 +5,11 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * A backend server is leaving; final for its VM.
+ * Notice that a backend server is leaving; a departure is final for its VM.
  *
  * @param vm the VM
- * @param remainingMillis the time left when this was said, in milliseconds, negative when
- * unknown
+ * @param remainingMillis the time until the VM terminates, counted from the creation of
+ * the notice, in milliseconds; negative when unknown
  */
 public record DepartureNotice(VmId vm, long remainingMillis) {
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/DepartureTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/DepartureTable.java
@@ -10,8 +10,8 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * The table of backend servers known to be leaving. A row is never taken back: it only
- * ages out after the VM is long gone.
+ * Backend servers that are leaving. A row is never revoked; it expires long after the VM
+ * was terminated.
  */
 final class DepartureTable {
 
@@ -22,10 +22,10 @@
 	// -- changes
 
 	/**
-	 * Takes a departure.
+	 * Adds a departure.
 	 * @param notice the departure
-	 * @param nowNanos the time
-	 * @return true when the VM was not known to be leaving
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return true when no departure of the VM was recorded yet
 	 */
 	boolean add(DepartureNotice notice, long nowNanos) {
 		if (this.rows.containsKey(notice.vm())) {
@@ -38,8 +38,8 @@
 	}
 
 	/**
-	 * Drops departures of long ago.
-	 * @param nowNanos the time
+	 * Removes departures older than the retention time.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void discardExpired(long nowNanos) {
 		this.rows.values()
@@ -49,18 +49,18 @@
 	// -- queries
 
 	/**
-	 * A departure as it is told now, with the time that is left now.
+	 * Returns the departure of a VM with the time that remains now.
 	 * @param vm the VM
-	 * @param nowNanos the time
-	 * @return the notice, empty when the VM is not known to be leaving
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the notice, empty when no departure of the VM is recorded
 	 */
 	Optional<DepartureNotice> notice(VmId vm, long nowNanos) {
 		return Optional.ofNullable(this.rows.get(vm)).map((row) -> new DepartureNotice(vm, remaining(row, nowNanos)));
 	}
 
 	/**
-	 * Random departures, for members that missed them.
-	 * @param count how many at most
+	 * Returns departures from a random position on, for members that missed them.
+	 * @param count the maximum number
 	 * @param random the source of randomness
 	 * @return the VMs
 	 */
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MemberId.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MemberId.java
@@ -5,7 +5,7 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * The identity of a member: a VM runs one process of each role.
+ * Identity of a member. A VM runs one process per role.
  *
  * @param vm the VM
  * @param role {@link #ENTRY} or {@link #CONTROLLER}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MemberRecord.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MemberRecord.java
@@ -3,21 +3,21 @@
 import java.util.Objects;
 
 /**
- * What one member knows of another. Records of a member are totally ordered by
- * incarnation, then by state; the greater one replaces the lesser wherever both meet, so
- * that the order of arrival does not matter and an old message changes nothing.
+ * State of a member as known to another one. The records of a member are totally ordered
+ * by incarnation, then by state. The greater record replaces the lesser one, so the order
+ * of arrival does not matter and a delayed message changes nothing.
  *
  * @param id the member
  * @param address the address of its peer listener, {@code host:port}
  * @param zone its availability zone
- * @param incarnation grows with each run of the process and each refutation
- * @param state what is known of it
- * @param revision the configuration revision last heard to be in force there
+ * @param incarnation increases with each start of the process and each refutation
+ * @param state its last known state
+ * @param revision the configuration revision that it last reported as in force
  */
 public record MemberRecord(MemberId id, String address, String zone, long incarnation, MemberState state,
 		long revision) {
 
-	/** Bytes of a record in a datagram besides its texts, measured generously. */
+	/** Generous estimate of the bytes of a record in a datagram, without its strings. */
 	private static final int FIXED_BYTES = 30;
 
 	public MemberRecord {
@@ -30,7 +30,7 @@
 	// -- queries
 
 	/**
-	 * Whether the member may still answer.
+	 * Returns whether the member may still respond.
 	 * @return false when it is dead
 	 */
 	public boolean reachable() {
@@ -38,7 +38,7 @@
 	}
 
 	/**
-	 * Whether this record replaces another one of the same member.
+	 * Returns whether this record replaces another one of the same member.
 	 * @param other the other record
 	 * @return true when this one is strictly greater
 	 */
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MemberState.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MemberState.java
@@ -1,21 +1,24 @@
 package org.rosemaryfront.membership;
 
 /**
- * What is known of a member; within one incarnation a later constant replaces an earlier
- * one and never the other way round.
+ * State of a member. Within one incarnation a later constant replaces an earlier one,
+ * never the reverse.
  */
 public enum MemberState {
 
-	/** It answers. */
+	/** Responds to probes. */
 	ALIVE,
 
-	/** It did not answer and may still refute that it is dead. */
+	/** Did not respond to a probe and can still refute that it is dead. */
 	SUSPECT,
 
-	/** It stops and takes nothing new; final for its incarnation. */
+	/**
+	 * Is shutting down and accepts no new work; it cannot become alive again in its
+	 * incarnation.
+	 */
 	LEAVING,
 
-	/** It is gone; final for its incarnation. */
+	/** Is considered terminated; final for its incarnation. */
 	DEAD
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MemberTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MemberTable.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 
 /**
- * The table of members besides this one.
+ * Records of all members except this one.
  */
 final class MemberTable {
 
@@ -30,11 +30,11 @@
 	// -- changes
 
 	/**
-	 * Takes a record when it supersedes the known one. This comparison is the guard
-	 * against an old message that arrives late: without it an old ALIVE would revive a
-	 * leaving or dead member, and the member would get work again.
+	 * Stores a record if it supersedes the current one. Without this comparison a delayed
+	 * ALIVE record would revive a leaving or dead member, which would then receive
+	 * requests again.
 	 * @param record the record
-	 * @param nowNanos the time
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return true when something changed
 	 */
 	boolean merge(MemberRecord record, long nowNanos) {
@@ -47,7 +47,7 @@
 	}
 
 	/**
-	 * Notes the revision that a member itself said is in force there.
+	 * Records the revision that a member itself reported as in force.
 	 * @param id the member
 	 * @param revision the revision
 	 */
@@ -56,8 +56,8 @@
 	}
 
 	/**
-	 * Drops members that have been dead for long.
-	 * @param nowNanos the time
+	 * Removes members that have been dead for longer than the retention time.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	void discardExpired(long nowNanos) {
 		this.deadSince.entrySet().removeIf((entry) -> {
@@ -101,7 +101,8 @@
 	}
 
 	/**
-	 * The dead members, which a healed partition may bring back.
+	 * Returns the dead members, which may be alive again after a network partition has
+	 * healed.
 	 * @return the members
 	 */
 	List<MemberId> dead() {
@@ -113,8 +114,8 @@
 	}
 
 	/**
-	 * The member to probe next: each one once in a round, in random order, so that the
-	 * time until a dead one is probed is bounded.
+	 * Returns the member to probe next. Each member is probed once per round in random
+	 * order, which bounds the time until a dead member is probed.
 	 * @return the member, empty when there is none
 	 */
 	Optional<MemberRecord> nextToProbe() {
@@ -126,9 +127,9 @@
 	}
 
 	/**
-	 * Random reachable members.
-	 * @param count how many at most
-	 * @param excluded a member not wanted
+	 * Returns random reachable members.
+	 * @param count the maximum number
+	 * @param excluded the member to leave out
 	 * @return distinct members
 	 */
 	List<MemberRecord> sample(int count, MemberId excluded) {
@@ -153,7 +154,7 @@
 	}
 
 	/**
-	 * The number of members that may answer, this one included.
+	 * Returns the number of reachable members, including this one.
 	 * @return at least 1
 	 */
 	int size() {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/Membership.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/Membership.java
@@ -12,18 +12,18 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * Knows the members of a region by probing, in the manner of SWIM, and spreads among them
- * what all must know soon. Deterministic: no input or output, the time and the seed are
- * passed in. Used by one thread only.
+ * Tracks the members of a region with a SWIM failure detector and distributes urgent
+ * changes among them by gossip. Deterministic: performs no input or output; the time and
+ * the seed are passed in. Must be used by one thread only.
  *
  * <p>
- * Every period a member probes one other member, each once in a round; without an answer
- * it asks some others to probe for it; without an answer to them either the member is
- * suspect, and dead when it does not refute in time. Changes travel in the datagrams of
- * probes and answers, each a bounded number of times; departures of backend servers,
- * members that leave and new configuration revisions are also pushed at once to a few
- * members. Bytes are bounded by the period, the size of a datagram and a budget for
- * pushes.
+ * In every period a member probes one other member, and each of them once per round. If
+ * no acknowledgement arrives, it asks several others to probe that member. If that fails
+ * too, the member becomes suspect, and dead if it does not refute in time. Changes are
+ * carried by probes and acknowledgements, each a limited number of times. Departures of
+ * backend servers, leaving members and new configuration revisions are also pushed
+ * immediately to a few members. The period, the datagram size and the push budget limit
+ * the bytes sent.
  *
  * <pre>
  * Membership membership = Membership.start(self, MembershipSettings.standard(), seed, now);
@@ -33,10 +33,10 @@
  */
 public final class Membership {
 
-	/** Every how many periods a dead member is asked whether it is back. */
+	/** Number of periods between probes of dead members. */
 	private static final int PERIODS_PER_RECONNECT = 5;
 
-	/** The time between two asks of all members that are behind. */
+	/** Minimum time between two queries to all members with an older revision. */
 	private static final long REVISION_QUERY_SPACING_NANOS = Duration.ofMillis(500).toNanos();
 
 	private final MembershipSettings settings;
@@ -87,12 +87,12 @@
 	// -- factories
 
 	/**
-	 * Starts a member that knows no other.
-	 * @param self its record; the incarnation is higher than that of any earlier run of
-	 * its VM and role
+	 * Creates a member without known peers.
+	 * @param self its record; the incarnation must be higher than in any earlier run with
+	 * the same VM and role
 	 * @param settings the limits and intervals
 	 * @param seed the seed of its random choices
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the member
 	 */
 	public static Membership start(MemberRecord self, MembershipSettings settings, long seed, long nowNanos) {
@@ -104,9 +104,9 @@
 	// -- events
 
 	/**
-	 * Takes an event into the tables.
+	 * Applies an event to the tables.
 	 * @param event what happened
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void accept(MembershipEvent event, long nowNanos) {
 		detectPause(nowNanos);
@@ -249,9 +249,10 @@
 		}
 	}
 
-	// A member that was paused, cut off or restarted hears what others think of it. It
-	// goes on under a higher incarnation, since nothing can replace a record of the same
-	// incarnation by an earlier state; a member that is leaving stays leaving.
+	// A member that was paused, partitioned or restarted may receive a record of itself
+	// as suspect, leaving or dead. It refutes the record by a higher incarnation, because
+	// a record cannot return to an earlier state within one incarnation. A leaving member
+	// stays leaving.
 	private void refute(MemberRecord received) {
 		if (received.supersedes(this.self)) {
 			this.self = this.self.withIncarnation(received.incarnation() + 1);
@@ -264,12 +265,12 @@
 		this.suspicions.add(record, nowNanos + this.settings.suspicionTimeoutNanos(this.members.size()));
 	}
 
-	// -- systems
+	// -- periodic processing
 
 	/**
-	 * Runs all systems over the tables.
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
-	 * @return what the caller must do, in order
+	 * Processes due probes, time-outs and pushes.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the commands to execute, in order
 	 */
 	public List<MembershipCommand> tick(long nowNanos) {
 		detectPause(nowNanos);
@@ -286,8 +287,9 @@
 		return result;
 	}
 
-	// Guards against a pause of this process: after it all answers seem overdue at once,
-	// and without this the process would suspect and bury members that are well.
+	// Detects a pause of this process. After a pause all acknowledgements seem overdue,
+	// and without this check the process would suspect healthy members and declare them
+	// dead.
 	private void detectPause(long nowNanos) {
 		long gap = nowNanos - this.lastTickAt;
 		this.lastTickAt = nowNanos;
@@ -341,8 +343,8 @@
 		}
 	}
 
-	// Heals a partition: both sides hold each other for dead and would never probe each
-	// other again.
+	// Probes a dead member to recover from a network partition, in which both sides
+	// declare each other dead and would otherwise never probe each other again.
 	private void reconnect(long nowNanos) {
 		List<MemberId> dead = this.members.dead();
 		if (!dead.isEmpty() && this.periods % PERIODS_PER_RECONNECT == 0) {
@@ -380,8 +382,9 @@
 	// -- queries
 
 	/**
-	 * All members that are known, this one included, the dead of the last day too.
-	 * @return the records by VM and role
+	 * Returns all members, including this one and those declared dead in the last 24
+	 * hours.
+	 * @return the records, sorted by VM and role
 	 */
 	public List<MemberRecord> members() {
 		List<MemberRecord> all = new ArrayList<>(this.members.all());
@@ -391,7 +394,8 @@
 	}
 
 	/**
-	 * What other entry processes have in flight, estimated from those heard lately.
+	 * Estimates the tokens in flight at other entry processes from recently received
+	 * digests.
 	 * @return tokens in flight by organisation
 	 */
 	public Map<String, Long> peerUsage() {
@@ -403,7 +407,7 @@
 	}
 
 	/**
-	 * The record of this member.
+	 * Returns the record of this member.
 	 * @return its record
 	 */
 	public MemberRecord self() {
@@ -411,7 +415,7 @@
 	}
 
 	/**
-	 * The number of members that may answer, this one included.
+	 * Returns the number of reachable members, including this one.
 	 * @return at least 1
 	 */
 	public int size() {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MembershipCommand.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MembershipCommand.java
@@ -1,21 +1,21 @@
 package org.rosemaryfront.membership;
 
 /**
- * Something that the caller of {@link Membership} must do or tell.
+ * Action that the caller of {@link Membership} must perform or report.
  */
 public sealed interface MembershipCommand {
 
 	/**
 	 * Send a datagram.
 	 *
-	 * @param address where to, {@code host:port}
+	 * @param address the destination, {@code host:port}
 	 * @param message the message
 	 */
 	record Send(String address, MembershipMessage message) implements MembershipCommand {
 	}
 
 	/**
-	 * What is known of a member changed.
+	 * The record of a member changed.
 	 *
 	 * @param record the new record
 	 */
@@ -23,7 +23,7 @@
 	}
 
 	/**
-	 * A peer said that a backend server is leaving; told once a VM.
+	 * A peer reported that a backend server is leaving; issued once per VM.
 	 *
 	 * @param notice the departure
 	 */
@@ -31,16 +31,17 @@
 	}
 
 	/**
-	 * A datagram came from a member.
+	 * A datagram was received from a member.
 	 *
 	 * @param address its address
-	 * @param revision the configuration revision in force there
+	 * @param revision the configuration revision in force at that member
 	 */
 	record PeerHeard(String address, long revision) implements MembershipCommand {
 	}
 
 	/**
-	 * This member refuted a suspicion, its death or a departure of an earlier run.
+	 * This member refuted a record of itself as suspect or dead, or as leaving in an
+	 * earlier run.
 	 *
 	 * @param incarnation its new incarnation
 	 */
@@ -48,10 +49,10 @@
 	}
 
 	/**
-	 * This process was paused for so long that its open questions and suspicions were
-	 * dropped.
+	 * This process was paused for so long that its outstanding probes were dropped and
+	 * the deadlines of its suspicions extended.
 	 *
-	 * @param nanos how long, in nanoseconds
+	 * @param nanos the length of the pause, in nanoseconds
 	 */
 	record PauseSeen(long nanos) implements MembershipCommand {
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MembershipEvent.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MembershipEvent.java
@@ -7,22 +7,22 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * Something that happened and that the membership must know.
+ * Input to {@link Membership}.
  */
 public sealed interface MembershipEvent {
 
 	/**
 	 * A datagram arrived.
 	 *
-	 * @param from the address it came from
+	 * @param from the address of its sender
 	 * @param message the message
 	 */
 	record MessageArrived(String from, MembershipMessage message) implements MembershipEvent {
 	}
 
 	/**
-	 * The VM list was read. It lags and may be frozen, so that an entry is only an
-	 * address to ask: nothing is alive before it answers.
+	 * The VM list was read. The list lags and may be stale, so it only provides addresses
+	 * to probe: a VM counts as a live member only after it responds.
 	 *
 	 * @param candidates the entry VMs that are not marked as leaving
 	 */
@@ -35,7 +35,8 @@
 	}
 
 	/**
-	 * This process learned, other than from a peer, that a backend server is leaving.
+	 * This process learned from a source other than a peer that a backend server is
+	 * leaving.
 	 *
 	 * @param notice the departure
 	 */
@@ -43,13 +44,13 @@
 	}
 
 	/**
-	 * This process stops.
+	 * This process is shutting down.
 	 */
 	record LeaveRequested() implements MembershipEvent {
 	}
 
 	/**
-	 * A configuration is in force here.
+	 * A configuration came into force at this process.
 	 *
 	 * @param revision its revision
 	 */
@@ -57,14 +58,14 @@
 	}
 
 	/**
-	 * Someone wants to know now which revision is in force at each member; those last
-	 * heard to be behind are asked.
+	 * The revision in force at each member was requested; members that last reported an
+	 * older revision are queried.
 	 */
 	record RevisionsAsked() implements MembershipEvent {
 	}
 
 	/**
-	 * What this process has in flight.
+	 * The tokens in flight at this process were measured.
 	 *
 	 * @param tokensInFlight tokens in flight by organisation
 	 */
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MembershipMessage.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MembershipMessage.java
@@ -7,10 +7,10 @@
 /**
  * One datagram between members.
  *
- * @param sender the record of its sender, first hand
- * @param kind what it asks or answers
- * @param members records passed on
- * @param departures departures of backend servers passed on
+ * @param sender the sender's own record
+ * @param kind the kind of the message
+ * @param members records of other members
+ * @param departures departures of backend servers
  * @param usage tokens in flight at the sender, by organisation
  */
 public record MembershipMessage(MemberRecord sender, Kind kind, List<MemberRecord> members,
@@ -25,29 +25,29 @@
 	}
 
 	/**
-	 * What a message asks or answers.
+	 * Kind of a message.
 	 */
 	public sealed interface Kind {
 
 		/**
-		 * Asks for an answer.
+		 * Requests an acknowledgement.
 		 *
-		 * @param number matches the answer
-		 * @param target empty to ask the receiver itself, else the address that the
-		 * receiver asks on the sender's behalf
+		 * @param number identifies the acknowledgement
+		 * @param target empty to probe the receiver itself, otherwise the address that
+		 * the receiver probes on the sender's behalf
 		 */
 		record Probe(long number, String target) implements Kind {
 		}
 
 		/**
-		 * Answers a probe.
+		 * Acknowledges a probe.
 		 *
 		 * @param number the number of the probe
 		 */
 		record Ack(long number) implements Kind {
 		}
 
-		/** Only passes on what it carries. */
+		/** Carries updates only and is not acknowledged. */
 		record Gossip() implements Kind {
 		}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MembershipSettings.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MembershipSettings.java
@@ -3,53 +3,57 @@
 import java.time.Duration;
 
 /**
- * The limits and intervals of the membership.
+ * Limits and intervals of the membership protocol.
  *
- * @param periodNanos the time between two probes of a member
- * @param ackTimeoutNanos how long a direct probe waits before others are asked to probe
- * @param suspicionFactor periods that a suspect has to refute, times the decimal
- * logarithm of the number of members
- * @param indirectProbes members asked to probe on one's behalf
- * @param fanout members told at once of something urgent
- * @param retransmitFactor how often a change is passed on, times the decimal logarithm of
- * the number of members
- * @param datagramBytes the greatest size of a datagram
- * @param usageOrganisations organisations in a digest of usage, those with the most first
- * @param pushBytesPerSecond bytes a second for urgent datagrams
- * @param pushBurstBytes bytes for urgent datagrams that may be saved up
+ * @param periodNanos the time between two probes sent by a member
+ * @param ackTimeoutNanos the time to wait for the acknowledgement of a direct probe
+ * before indirect probes are sent
+ * @param suspicionFactor the number of periods that a suspect has to refute, to be
+ * multiplied by the decimal logarithm of the number of members
+ * @param indirectProbes the number of members asked for an indirect probe
+ * @param fanout the number of members that an urgent change is pushed to immediately
+ * @param retransmitFactor the number of transmissions of a change, to be multiplied by
+ * the decimal logarithm of the number of members
+ * @param datagramBytes the maximum size of a datagram, in bytes
+ * @param usageOrganisations the maximum number of organisations in a usage digest, those
+ * with the most tokens in flight first
+ * @param pushBytesPerSecond the refill rate of the budget for urgent datagrams, in bytes
+ * per second
+ * @param pushBurstBytes the capacity of the budget for urgent datagrams, in bytes
  */
 public record MembershipSettings(long periodNanos, long ackTimeoutNanos, double suspicionFactor, int indirectProbes,
 		int fanout, double retransmitFactor, int datagramBytes, int usageOrganisations, int pushBytesPerSecond,
 		int pushBurstBytes) {
 
-	/** How long a departure of a backend server is remembered; VM names do not recur. */
+	/** How long a departure of a backend server is kept; VM names are not reused. */
 	static final long DEPARTURE_RETENTION_NANOS = Duration.ofHours(1).toNanos();
 
-	/** How long a dead member is remembered, so that old records cannot revive it. */
+	/** How long a dead member is kept, so that old records cannot revive it. */
 	static final long TOMBSTONE_RETENTION_NANOS = Duration.ofHours(24).toNanos();
 
-	/** How long a digest of usage counts. */
+	/** How long a usage digest is used after its arrival. */
 	static final long USAGE_RETENTION_NANOS = Duration.ofSeconds(20).toNanos();
 
-	/** How often a new member is passed on. */
+	/** Number of transmissions of a new member. */
 	static final int JOIN_TRANSMISSIONS = 3;
 
-	/** Records passed on in a datagram that is not urgent. */
+	/** Maximum number of changed records in a datagram. */
 	static final int MEMBERS_PER_DATAGRAM = 6;
 
-	/** Departures passed on in a datagram that is not urgent. */
+	/** Maximum number of new departures in a datagram that is not urgent. */
 	static final int DEPARTURES_PER_DATAGRAM = 12;
 
 	/**
-	 * The values for production.
-	 * @return a probe a second, with a datagram that fits any path
+	 * Returns the production settings: one probe per second and datagrams that fit any
+	 * path MTU.
+	 * @return the settings
 	 */
 	public static MembershipSettings standard() {
 		return ofPeriod(Duration.ofSeconds(1));
 	}
 
 	/**
-	 * The standard values with another period.
+	 * Returns the standard settings with another period.
 	 * @param period the time between two probes
 	 * @return the settings
 	 */
@@ -59,7 +63,7 @@
 	}
 
 	/**
-	 * How often a change is passed on.
+	 * Returns the number of transmissions of a change.
 	 * @param members the number of members
 	 * @return the count
 	 */
@@ -68,7 +72,7 @@
 	}
 
 	/**
-	 * How long a suspect has to refute.
+	 * Returns how long a suspect has to refute.
 	 * @param members the number of members
 	 * @return the time in nanoseconds
 	 */
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MessageComposer.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MessageComposer.java
@@ -12,15 +12,16 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * Chooses what a datagram carries, within its size.
+ * Chooses the contents of datagrams within their maximum size.
  */
 final class MessageComposer {
 
 	private static final int HEADER_BYTES = 64;
 
 	/**
-	 * Departures passed on in an urgent datagram. They must fit beside the records, since
-	 * one that is chosen counts as sent: chosen and left out it would never arrive.
+	 * Maximum number of departures in an urgent datagram. They must fit together with the
+	 * records: a chosen departure counts as sent, so one that is then left out would
+	 * never be delivered.
 	 */
 	private static final int URGENT_DEPARTURES = 25;
 
@@ -50,16 +51,17 @@
 		this.random = random;
 	}
 
-	// -- changes to pass on
+	// -- pending changes
 
 	void enqueue(MemberId member) {
 		this.memberBroadcasts.add(member, 0);
 	}
 
 	/**
-	 * Passes a change on that the others mostly learn in another way: a new member asks
-	 * all that the VM list names. Without the difference the start of a whole fleet would
-	 * fill datagrams for minutes.
+	 * Queues a new member for fewer transmissions than other changes, because most
+	 * members learn of it directly: a new member probes all addresses in the VM list.
+	 * With the full number of transmissions the start of a whole fleet would fill
+	 * datagrams for minutes.
 	 * @param member the new member
 	 */
 	void enqueueJoin(MemberId member) {
@@ -74,12 +76,12 @@
 	// -- messages
 
 	/**
-	 * An ordinary message: changes, one random record and departure for members that
-	 * missed a change, and the digest of usage.
+	 * Composes an ordinary message: pending changes, one random record and a few random
+	 * departures for members that missed a change, and the usage digest.
 	 * @param self the record of the sender
-	 * @param to the receiver when it is known
-	 * @param kind what it asks or answers
-	 * @param nowNanos the time
+	 * @param to the receiver, if known
+	 * @param kind the kind of the message
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the message
 	 */
 	MembershipMessage ordinary(MemberRecord self, Optional<MemberId> to, Kind kind, long nowNanos) {
@@ -92,10 +94,10 @@
 	}
 
 	/**
-	 * An urgent message: only changes, as many as fit.
+	 * Composes an urgent message: pending changes only, as many as fit.
 	 * @param self the record of the sender
 	 * @param to the receiver
-	 * @param nowNanos the time
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the message
 	 */
 	MembershipMessage urgent(MemberRecord self, MemberId to, long nowNanos) {
@@ -105,10 +107,11 @@
 	}
 
 	/**
-	 * A message to a member that just joined: as many members and departures as fit.
+	 * Composes a message to a member that just joined, with as many members and
+	 * departures as fit.
 	 * @param self the record of the sender
-	 * @param kind what it asks or answers
-	 * @param nowNanos the time
+	 * @param kind the kind of the message
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the message
 	 */
 	MembershipMessage joinReply(MemberRecord self, Kind kind, long nowNanos) {
@@ -118,10 +121,11 @@
 				this.usage.digest(this.settings.usageOrganisations()), nowNanos);
 	}
 
-	// -- parts
+	// -- contents
 
-	// What is said of the receiver itself. A member that is wrongly suspected or called
-	// dead can refute only what it hears; this makes sure that it hears it.
+	// Returns the receiver's own record unless it is alive. A member that is wrongly
+	// recorded as suspect or dead can refute only a record that it receives, so every
+	// such message contains it.
 	private List<MemberId> receiverRecord(Optional<MemberId> to) {
 		return to.flatMap(this.members::find)
 			.filter((record) -> record.state() != MemberState.ALIVE)
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/ProbeTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/ProbeTable.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * The table of open probes: the one of this period, and those sent on behalf of others.
+ * Outstanding probes: the one of the current period and those relayed for other members.
  */
 final class ProbeTable {
 
@@ -22,9 +22,9 @@
 	// -- own probe
 
 	/**
-	 * Opens the probe of a period.
+	 * Starts the probe of a period.
 	 * @param target the member probed
-	 * @param nowNanos the time
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return its number
 	 */
 	long start(MemberRecord target, long nowNanos) {
@@ -35,9 +35,10 @@
 	}
 
 	/**
-	 * The probe that is due for help of others.
-	 * @param sentBefore the time before which it was sent
-	 * @return the probe, once
+	 * Returns the probe of this period once it is due for indirect probes.
+	 * @param sentBefore the latest time at which an overdue probe was sent, on the
+	 * monotonic clock, in nanoseconds
+	 * @return the probe, at most once
 	 */
 	Optional<OpenProbe> takeOverdue(long sentBefore) {
 		Optional<OpenProbe> due = this.open.filter((probe) -> !probe.indirectSent() && probe.sentAt() <= sentBefore);
@@ -46,8 +47,8 @@
 	}
 
 	/**
-	 * Ends the period.
-	 * @return the probe that nobody answered, empty when it was answered
+	 * Ends the period and returns its probe if it is not acknowledged.
+	 * @return the probe, empty when it was acknowledged
 	 */
 	Optional<OpenProbe> takeUnanswered() {
 		Optional<OpenProbe> failed = this.open;
@@ -64,14 +65,14 @@
 		this.relays.clear();
 	}
 
-	// -- on behalf of others
+	// -- relayed probes
 
 	/**
-	 * Notes a probe sent for another member.
-	 * @param requester the address of the member that asked
-	 * @param number its number there
-	 * @param nowNanos the time
-	 * @return the number under which it goes on
+	 * Records a probe that is relayed for another member.
+	 * @param requester the address of the member that requested it
+	 * @param number the number that the requester gave it
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the number of the relayed probe
 	 */
 	long relay(String requester, long number, long nowNanos) {
 		long own = nextNumber();
@@ -88,7 +89,7 @@
 	}
 
 	/**
-	 * A number that no open probe has.
+	 * Returns a number that no outstanding probe has.
 	 * @return the number
 	 */
 	long nextNumber() {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/PushBudget.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/PushBudget.java
@@ -4,15 +4,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bounds the bytes of urgent datagrams: a token bucket in bytes. When it is empty, urgent
- * changes still travel in the datagrams of probes.
+ * Token bucket that limits the bytes of urgent datagrams. When it is empty, urgent
+ * changes are still carried by probes.
  */
 final class PushBudget {
 
-	/** Urgent changes that come within this time share datagrams. */
+	/**
+	 * Minimum time between two pushes; urgent changes within this time share datagrams.
+	 */
 	private static final long SPACING_NANOS = Duration.ofMillis(20).toNanos();
 
-	/** Bytes of an urgent datagram besides records, with the headers of IP and UDP. */
+	/**
+	 * Bytes of an urgent datagram without its records, including the IP and UDP headers.
+	 */
 	private static final int HEADER_BYTES = 92;
 
 	private final MembershipSettings settings;
@@ -41,8 +45,8 @@
 	}
 
 	/**
-	 * Requests a push that does not wait for others to share its datagrams, since this
-	 * process may end at once.
+	 * Requests a push that does not wait for further changes to share its datagrams,
+	 * because this process may exit immediately.
 	 */
 	void requestImmediate() {
 		this.requested = true;
@@ -50,9 +54,10 @@
 	}
 
 	/**
-	 * Whether to push now; a push that is due is no longer requested.
-	 * @param nowNanos the time
-	 * @return true when something urgent waits and the budget allows it
+	 * Returns whether to push now, and clears the request if so.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return true when a push is requested, the minimum time has passed and the budget
+	 * allows it
 	 */
 	boolean due(long nowNanos) {
 		if (!this.requested || nowNanos - this.lastPushAt < SPACING_NANOS) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/SuspicionTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/SuspicionTable.java
@@ -5,16 +5,17 @@
 import java.util.TreeMap;
 
 /**
- * The table of members that did not answer, with the time until which they may refute.
+ * Suspected members with the times until which they may refute.
  */
 final class SuspicionTable {
 
 	private final Map<MemberId, Suspicion> rows = new TreeMap<>();
 
 	/**
-	 * Notes a suspicion; one that is known keeps its deadline.
+	 * Adds a suspicion; an existing one keeps its deadline.
 	 * @param record the member
-	 * @param deadline when it counts as dead
+	 * @param deadline the time at which the member is declared dead, on the monotonic
+	 * clock, in nanoseconds
 	 */
 	void add(MemberRecord record, long deadline) {
 		this.rows.putIfAbsent(record.id(), new Suspicion(record.id(), record.incarnation(), deadline));
@@ -29,8 +30,8 @@
 	}
 
 	/**
-	 * Takes the suspicions out that were not refuted in time.
-	 * @param nowNanos the time
+	 * Removes and returns the suspicions that were not refuted in time.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the suspicions
 	 */
 	List<Suspicion> takeOverdue(long nowNanos) {
@@ -43,11 +44,12 @@
 	}
 
 	/**
-	 * A member that did not answer.
+	 * A member that did not respond to a probe.
 	 *
 	 * @param id the member
-	 * @param incarnation its incarnation then
-	 * @param deadline when it counts as dead
+	 * @param incarnation its incarnation when it was suspected
+	 * @param deadline the time at which the member is declared dead, on the monotonic
+	 * clock, in nanoseconds
 	 */
 	record Suspicion(MemberId id, long incarnation, long deadline) {
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/UsageTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/UsageTable.java
@@ -7,11 +7,11 @@
 import java.util.stream.Collectors;
 
 /**
- * The table of what members have in flight, from the digests that they sent themselves.
+ * Tokens in flight at other members, from the digests that they sent.
  *
  * <p>
- * At many members only some were heard lately. The balancer spreads callers evenly, so
- * that those heard stand for the others: the sum is scaled to all.
+ * In a large region only some members have sent a digest recently. The load balancer
+ * spreads callers evenly, so the sum over these members is scaled up to all members.
  */
 final class UsageTable {
 
@@ -41,8 +41,9 @@
 	// -- queries
 
 	/**
-	 * The digest that this member sends.
-	 * @param organisations how many organisations at most, those with the most first
+	 * Returns the digest that this member sends.
+	 * @param organisations the maximum number of organisations, those with the most
+	 * tokens first
 	 * @return tokens in flight by organisation
 	 */
 	Map<String, Long> digest(int organisations) {
@@ -58,8 +59,8 @@
 	}
 
 	/**
-	 * What all other members of a role have in flight.
-	 * @param others how many there are
+	 * Estimates the tokens in flight at all other entry processes.
+	 * @param others the number of other entry processes
 	 * @return tokens in flight by organisation
 	 */
 	Map<String, Long> estimate(int others) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/ClaimFaultMatrixTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/ClaimFaultMatrixTests.java
@@ -7,7 +7,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Each fault at each step of an at-most-once call. */
+/** Injects each fault at each step of an at-most-once call. */
 class ClaimFaultMatrixTests {
 
 	@ParameterizedTest
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/ClaimScript.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/ClaimScript.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One request and then its repeat at another entry, step by step, with a fault that
- * begins at one step of the first.
+ * Runs one request and then its repeat at another entry process, with a fault that begins
+ * at a given step of the first request.
  */
 final class ClaimScript {
 
@@ -48,7 +48,8 @@
 
 	/**
 	 * Runs the request and its repeat.
-	 * @return the answer, the repeat's answer and how often the call ran
+	 * @return the response, the response to the repeat and the number of times that the
+	 * call ran
 	 */
 	List<String> run() {
 		reach(Step.BEFORE_CLAIM);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/ClaimSimulation.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/ClaimSimulation.java
@@ -11,9 +11,9 @@
 import java.util.stream.Collectors;
 
 /**
- * A randomised run of many callers that repeat their calls through several entries while
- * entries pause and die and the table service and the backend servers fail. Afterwards
- * all is well, and each key is asked for once more.
+ * Simulates many callers that repeat their calls through several entry processes while
+ * these pause and crash and the table service and the backend servers fail. After the
+ * faults have ended, one final request is sent for each key.
  */
 final class ClaimSimulation {
 
@@ -51,15 +51,15 @@
 	}
 
 	/**
-	 * Runs one seed.
+	 * Runs the simulation with one seed.
 	 * @param seed the seed
-	 * @return the requests and the broken invariants
+	 * @return the requests and the violated invariants
 	 */
 	static Result run(long seed) {
 		ClaimSimulation simulation = new ClaimSimulation(seed);
 		simulation.schedule();
 		if (!simulation.time.run()) {
-			simulation.violations.add("a call ends: the run goes on for ever");
+			simulation.violations.add("each call ends: the run exceeded its task limit");
 		}
 		simulation.check();
 		return new Result(seed, simulation.requests, simulation.violations);
@@ -164,17 +164,18 @@
 
 	private void checkRequest(SimulatedRequest request) {
 		long deadline = request.arrived + TimeUnit.MILLISECONDS.toNanos(TIMES.callMillis());
-		require(request.replies.size() <= 1, "a call has one answer", request);
-		require(!request.failedWith("not-run") || request.runs == 0, "not-run means that it did not run", request);
+		require(request.replies.size() <= 1, "a call has at most one response", request);
+		require(!request.failedWith("not-run") || request.runs == 0, "not-run means that the call did not run",
+				request);
 		boolean entryRanThroughout = !request.entryCrashed && !request.entryPaused && request.arrived >= 0;
 		if (entryRanThroughout) {
 			boolean inTime = request.repliedAt.isPresent() && request.repliedAt.getAsLong() <= deadline;
-			require(inTime, "each call has its answer by its deadline", request);
+			require(inTime, "each call has its response by its deadline", request);
 		}
 		request.sends.forEach((at) -> require(at <= deadline, "nothing is sent after the deadline", request));
 		request.outcome()
 			.ifPresent((outcome) -> require(outcome.body().endsWith("/" + request.fingerprint),
-					"an answer belongs to the call", request));
+					"a response belongs to its call", request));
 	}
 
 	private void checkKey(SimulatedRequest finalRequest, List<SimulatedRequest> earlier) {
@@ -184,17 +185,17 @@
 		require(runs <= 1, "a key runs at most once", finalRequest, all);
 		boolean sameCall = earlier.stream().allMatch((request) -> request.fingerprint.equals("call"));
 		require(!sameCall || all.stream().noneMatch((request) -> request.failedWith("key-reused")),
-				"a repeat of the same call is no other call", finalRequest, all);
+				"a repeat of the same call is not refused as another call", finalRequest, all);
 		Set<ClaimOutcome> outcomes = all.stream()
 			.flatMap((request) -> request.outcome().stream())
 			.collect(Collectors.toSet());
 		require(outcomes.size() <= 1, "each repeat has the same outcome", finalRequest, all);
 		if (sameCall && earlier.stream().anyMatch(SimulatedRequest::hasStoredOutcome)) {
-			require(finalRequest.outcome().isPresent(), "a stored outcome stays", finalRequest, all);
+			require(finalRequest.outcome().isPresent(), "a stored outcome is kept", finalRequest, all);
 		}
 		boolean neverRan = earlier.stream().noneMatch((request) -> request.mayHaveRun || request.runs > 0);
 		if (sameCall && neverRan) {
-			require(finalRequest.outcome().isPresent(), "a key that did not run can run", finalRequest, all);
+			require(finalRequest.outcome().isPresent(), "a key that never ran can run", finalRequest, all);
 		}
 	}
 
@@ -209,7 +210,7 @@
 	}
 
 	/**
-	 * What a run showed.
+	 * Result of a run.
 	 *
 	 * @param seed its seed
 	 * @param requests all requests
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/ClaimSimulationTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/ClaimSimulationTests.java
@@ -8,7 +8,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Long randomised runs of the claims. More seeds: {@code -Dsoak.seeds=N -Dsoak.seed=S}.
+ * Randomised simulations of claims. Options for other seeds:
+ * {@code -Dsoak.seeds=N -Dsoak.seed=S}.
  */
 class ClaimSimulationTests {
 
@@ -18,10 +19,10 @@
 
 	private static final long SEED_COUNT = Long.getLong("soak.seeds", 2_000);
 
-	// A homeowner's booking is repeated by three apps through four entries while entries
-	// pause and die, the table service is slow, down and loses answers, and the service
-	// refuses, breaks off and falls silent. Doubled, the booking sends two crews; lost,
-	// none. Afterwards each key is asked for once more.
+	// Callers repeat a booking through four entry processes while these pause and crash,
+	// the table service is slow, down or loses responses, and the backend servers refuse
+	// calls, close connections or do not respond. A booking that ran twice would send two
+	// crews, a lost one none. Finally, one more request is sent for each key.
 	@ParameterizedTest
 	@MethodSource("batches")
 	void shouldKeepInvariantsWhenFaultsAreInjected(long first) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedEntry.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedEntry.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 
-/** An entry process on virtual time that can be paused and can die. */
+/** Entry process on virtual time that can be paused and can crash. */
 final class SimulatedEntry {
 
 	private final String vm;
@@ -150,7 +150,7 @@
 	}
 
 	private void feedAttempt(OpenCall call, int attempt, ClaimEvent event) {
-		// The answer of a call that was given up can still arrive.
+		// The response of an aborted attempt can still arrive.
 		if (!call.aborted.contains(attempt) || this.random.nextInt(3) == 0) {
 			feed(call, event);
 		}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedRequest.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedRequest.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** One request of a caller with all that became of it. */
+/** One request of a caller with the events recorded for it. */
 final class SimulatedRequest {
 
 	final String key;
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedStore.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedStore.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * A table service on virtual time that is slow, down, loses requests and answers, and
- * lets a write take effect after it was reported as uncertain.
+ * Table service on virtual time that can be slow or down, lose requests and responses,
+ * and apply a write after it was reported as uncertain.
  */
 final class SimulatedStore {
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedTime.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedTime.java
@@ -5,7 +5,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Virtual time: tasks run in the order of their times, those of one time as scheduled.
+ * Virtual clock. Tasks run in the order of their times, and tasks with the same time in
+ * the order in which they were scheduled.
  */
 final class SimulatedTime {
 
@@ -30,7 +31,7 @@
 		this.tasks.add(new Task(Math.max(nanos, this.now), this.count++, work));
 	}
 
-	// False when the tasks do not end.
+	// Returns false when the tasks exceed their limit.
 	boolean run() {
 		while (!this.tasks.isEmpty()) {
 			Task task = this.tasks.poll();
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/membership/MembershipTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/membership/MembershipTests.java
@@ -38,9 +38,9 @@
 			"1,DEAD,1,LEAVING,DEAD", "2,LEAVING,1,ALIVE,LEAVING", "2,DEAD,1,ALIVE,DEAD", "1,DEAD,2,ALIVE,ALIVE" })
 	void shouldKeepGreaterRecordWhenAnotherArrives(long incarnation, MemberState state, long laterIncarnation,
 			MemberState laterState, MemberState expected) {
-		// A member leaves; a datagram sent before that was delayed on its way and says
-		// that it is alive. If the late one won, requests would be handed to a process
-		// that is about to end.
+		// A datagram that reports a member as alive is delayed until after the member
+		// announced that it is leaving. If the delayed record won, requests would be
+		// handed to a process that is about to exit.
 		gossip(record("vm-2", incarnation, state));
 		gossip(record("vm-2", laterIncarnation, laterState));
 		assertThat(view("vm-2")).map(MemberRecord::state).contains(expected);
@@ -49,8 +49,8 @@
 	@ParameterizedTest
 	@EnumSource(names = { "LEAVING", "DEAD" })
 	void shouldNotReviveMemberWhenVmListStillContainsIt(MemberState state) {
-		// The VM list lags or is frozen and names an entry VM that said it is leaving.
-		// Taking the list's word would send it requests again.
+		// The VM list lags or is stale and still contains an entry VM that announced that
+		// it is leaving. If the list revived the member, it would receive requests again.
 		gossip(record("vm-2", 1, state));
 		accept(new MembershipEvent.CandidatesListed(
 				List.of(new MembershipEvent.Candidate(new VmId("vm-2"), OTHER_ADDRESS))));
@@ -86,9 +86,9 @@
 
 	@Test
 	void shouldNotSuspectMembersWhenProcessWasPaused() {
-		// The VM of an entry is paused for a minute. On waking all its probes and
-		// suspicions are overdue at once; judging by them it would hold its peers for
-		// dead, hand nothing over to them and show an operator an outage that is none.
+		// The VM of an entry process is paused for a minute. When it resumes, all its
+		// probes and suspicions are overdue. If it acted on them, it would declare its
+		// peers dead, hand nothing over to them and show the operator a false outage.
 		receive("vm-2", new Kind.Gossip());
 		tickUntil(SECOND);
 		this.now += 60 * SECOND;
@@ -109,8 +109,9 @@
 
 	@Test
 	void shouldSendDeadMemberItsRecordWhenProbingItAgain() {
-		// A partition heals long after the deaths were last passed on. A member can
-		// refute only what it hears, so that the one that asks it again must say it.
+		// A network partition heals long after the DEAD records were last sent. A member
+		// can refute only a record that it receives, so each probe of a dead member must
+		// contain its record.
 		gossip(record("vm-2", 1, MemberState.DEAD));
 		tickUntil(60 * SECOND);
 		this.commands.clear();
