--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimMachine.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimMachine.java
@@ -426,7 +426,7 @@
 	}
 
 	private void failAfterSend(String detail) {
-		reply(new ClaimReply.Failed(ClaimProblems.unanswered(detail)));
+		reply(new ClaimReply.Failed(ClaimProblems.noResponse(detail)));
 		settle(new ClaimRow.Unknown(this.token, this.fingerprint));
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimProblems.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimProblems.java
@@ -50,7 +50,7 @@
 		return Problem.notRun(ProblemCode.DEADLINE_EXCEEDED, "the call could not be sent in time", RETRY_AFTER);
 	}
 
-	static Problem unanswered(String detail) {
+	static Problem noResponse(String detail) {
 		return Problem.of(ProblemCode.OUTCOME_UNKNOWN, Verdict.mayHaveRun(), detail);
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/Membership.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/Membership.java
@@ -117,7 +117,7 @@
 			case MembershipEvent.LeaveRequested _ -> leave();
 			case MembershipEvent.RevisionInForce inForce -> revisionInForce(inForce.revision());
 			case MembershipEvent.RevisionsAsked _ -> queryRevisions(nowNanos);
-			case MembershipEvent.UsageMeasured measured -> this.usage.own(measured.tokensInFlight());
+			case MembershipEvent.UsageMeasured measured -> this.usage.setOwn(measured.tokensInFlight());
 		}
 	}
 
@@ -311,7 +311,7 @@
 	private void endPeriod(long nowNanos) {
 		this.nextPeriodAt = nowNanos + this.settings.periodNanos();
 		this.periods++;
-		this.probes.takeUnanswered().ifPresent((probe) -> suspectUnanswered(probe, nowNanos));
+		this.probes.takeUnacknowledged().ifPresent((probe) -> suspectUnacknowledged(probe, nowNanos));
 		this.probes.discardRelays(nowNanos - this.settings.periodNanos());
 		this.usage.discard(nowNanos);
 		this.departures.discardExpired(nowNanos);
@@ -323,7 +323,7 @@
 		reconnect(nowNanos);
 	}
 
-	private void suspectUnanswered(ProbeTable.OpenProbe probe, long nowNanos) {
+	private void suspectUnacknowledged(ProbeTable.OpenProbe probe, long nowNanos) {
 		MemberRecord current = this.members.find(probe.target()).orElseThrow();
 		if (current.incarnation() != probe.incarnation() || !current.reachable()) {
 			return;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/ProbeTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/ProbeTable.java
@@ -50,10 +50,10 @@
 	 * Ends the period and returns its probe if it is not acknowledged.
 	 * @return the probe, empty when it was acknowledged
 	 */
-	Optional<OpenProbe> takeUnanswered() {
-		Optional<OpenProbe> failed = this.open;
+	Optional<OpenProbe> takeUnacknowledged() {
+		Optional<OpenProbe> unacknowledged = this.open;
 		this.open = Optional.empty();
-		return failed;
+		return unacknowledged;
 	}
 
 	void acknowledge(long number) {
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/UsageTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/UsageTable.java
@@ -21,7 +21,7 @@
 
 	// -- changes
 
-	void own(Map<String, Long> tokensInFlight) {
+	void setOwn(Map<String, Long> tokensInFlight) {
 		this.own = tokensInFlight;
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedStore.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedStore.java
@@ -47,31 +47,31 @@
 		return Optional.ofNullable(this.rows.get(key)).map(Versioned::row);
 	}
 
-	void commit(String key, ClaimCommand.Write write, Consumer<ClaimEvent> answer) {
+	void commit(String key, ClaimCommand.Write write, Consumer<ClaimEvent> responseHandler) {
 		boolean faulty = this.down || this.random.nextDouble() < this.faultRate;
 		switch (faulty ? this.random.nextInt(4) : 4) {
-			case 0 -> answer(latency(), answer, new ClaimEvent.WriteRefused());
-			case 1 -> answer(TIMEOUT_MILLIS, answer, new ClaimEvent.WriteUncertain());
+			case 0 -> respond(latency(), responseHandler, new ClaimEvent.WriteRefused());
+			case 1 -> respond(TIMEOUT_MILLIS, responseHandler, new ClaimEvent.WriteUncertain());
 			case 2 -> {
 				this.time.after(latency(), () -> apply(key, write));
-				answer(TIMEOUT_MILLIS, answer, new ClaimEvent.WriteUncertain());
+				respond(TIMEOUT_MILLIS, responseHandler, new ClaimEvent.WriteUncertain());
 			}
 			case 3 -> {
-				answer(TIMEOUT_MILLIS, answer, new ClaimEvent.WriteUncertain());
+				respond(TIMEOUT_MILLIS, responseHandler, new ClaimEvent.WriteUncertain());
 				this.time.after(TIMEOUT_MILLIS + this.random.nextInt(3_000), () -> apply(key, write));
 			}
-			default -> this.time.after(latency(), () -> answer(latency(), answer, apply(key, write)));
+			default -> this.time.after(latency(), () -> respond(latency(), responseHandler, apply(key, write)));
 		}
 	}
 
-	void read(String key, Consumer<Optional<Versioned>> answer, Runnable failed) {
+	void read(String key, Consumer<Optional<Versioned>> responseHandler, Runnable failureHandler) {
 		if (this.down || this.random.nextDouble() < this.faultRate) {
-			this.time.after(TIMEOUT_MILLIS, failed);
+			this.time.after(TIMEOUT_MILLIS, failureHandler);
 			return;
 		}
 		this.time.after(latency(), () -> {
 			Optional<Versioned> row = Optional.ofNullable(this.rows.get(key));
-			this.time.after(latency(), () -> answer.accept(row));
+			this.time.after(latency(), () -> responseHandler.accept(row));
 		});
 	}
 
@@ -84,8 +84,8 @@
 		return new ClaimEvent.Written(version + 1);
 	}
 
-	private void answer(long millis, Consumer<ClaimEvent> answer, ClaimEvent event) {
-		this.time.after(millis, () -> answer.accept(event));
+	private void respond(long millis, Consumer<ClaimEvent> responseHandler, ClaimEvent event) {
+		this.time.after(millis, () -> responseHandler.accept(event));
 	}
 
 	private long latency() {
