--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimMachine.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimMachine.java
@@ -51,7 +51,7 @@
 	private long expectedVersion;
 
 	/**
-	 * The version of the row of this request, known while
+	 * The version of the row of this request, valid while
 	 * {@link ClaimOwnership#CONFIRMED}.
 	 */
 	private long ownVersion;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MessageComposer.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MessageComposer.java
@@ -124,8 +124,8 @@
 	// -- contents
 
 	// Returns the receiver's own record unless it is alive. A member that is wrongly
-	// recorded as suspect or dead can refute only a record that it receives, so every
-	// such message contains it.
+	// recorded as suspect or dead can refute only a record that it receives, so each
+	// message to it contains that record.
 	private List<MemberId> receiverRecord(Optional<MemberId> to) {
 		return to.flatMap(this.members::find)
 			.filter((record) -> record.state() != MemberState.ALIVE)
