--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/DepartureTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/DepartureTable.java
@@ -10,8 +10,8 @@
 import org.rosemaryfront.model.VmId;
 
 /**
- * The table of backend servers known to be leaving. A row is never taken back: it only
- * ages out after the VM is long gone.
+ * Backend servers that are leaving. A row is never revoked; it expires long after the VM
+ * was terminated.
  */
 final class DepartureTable {
 
@@ -22,44 +22,45 @@
 	// -- changes
 
 	/**
-	 * Takes a departure.
+	 * Adds a departure.
 	 * @param notice the departure
-	 * @param now the time
-	 * @return true when the VM was not known to be leaving
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return true when no departure of the VM was recorded yet
 	 */
-	boolean add(DepartureNotice notice, long now) {
+	boolean add(DepartureNotice notice, long nowNanos) {
 		if (this.rows.containsKey(notice.vm())) {
 			return false;
 		}
 		long goneAt = (notice.remainingMillis() < 0) ? UNKNOWN
-				: now + TimeUnit.MILLISECONDS.toNanos(notice.remainingMillis());
-		this.rows.put(notice.vm(), new Row(now, goneAt));
+				: nowNanos + TimeUnit.MILLISECONDS.toNanos(notice.remainingMillis());
+		this.rows.put(notice.vm(), new Row(nowNanos, goneAt));
 		return true;
 	}
 
 	/**
-	 * Drops departures of long ago.
-	 * @param now the time
+	 * Removes departures older than the retention time.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
-	void forget(long now) {
-		this.rows.values().removeIf((row) -> now - row.learnedAt() > MembershipSettings.DEPARTURE_RETENTION_NANOS);
+	void discardExpired(long nowNanos) {
+		this.rows.values()
+			.removeIf((row) -> nowNanos - row.receivedAt() > MembershipSettings.DEPARTURE_RETENTION_NANOS);
 	}
 
 	// -- queries
 
 	/**
-	 * A departure as it is told now, with the time that is left now.
+	 * Returns the departure of a VM with the time that remains now.
 	 * @param vm the VM
-	 * @param now the time
-	 * @return the notice, empty when the VM is not known to be leaving
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the notice, empty when no departure of the VM is recorded
 	 */
-	Optional<DepartureNotice> notice(VmId vm, long now) {
-		return Optional.ofNullable(this.rows.get(vm)).map((row) -> new DepartureNotice(vm, remaining(row, now)));
+	Optional<DepartureNotice> notice(VmId vm, long nowNanos) {
+		return Optional.ofNullable(this.rows.get(vm)).map((row) -> new DepartureNotice(vm, remaining(row, nowNanos)));
 	}
 
 	/**
-	 * Random departures, for members that missed them.
-	 * @param count how many at most
+	 * Returns departures from a random position on, for members that missed them.
+	 * @param count the maximum number
 	 * @param random the source of randomness
 	 * @return the VMs
 	 */
@@ -71,11 +72,12 @@
 		return this.rows.keySet().stream().skip(skip).limit(count).toList();
 	}
 
-	private static long remaining(Row row, long now) {
-		return (row.goneAt() == UNKNOWN) ? -1 : Math.max(0, TimeUnit.NANOSECONDS.toMillis(row.goneAt() - now));
+	private static long remaining(Row row, long nowNanos) {
+		return (row.terminatesAt() == UNKNOWN) ? -1
+				: Math.max(0, TimeUnit.NANOSECONDS.toMillis(row.terminatesAt() - nowNanos));
 	}
 
-	private record Row(long learnedAt, long goneAt) {
+	private record Row(long receivedAt, long terminatesAt) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/ProbeTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/ProbeTable.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * The table of open probes: the one of this period, and those sent on behalf of others.
+ * Outstanding probes: the one of the current period and those relayed for other members.
  */
 final class ProbeTable {
 
@@ -13,7 +13,7 @@
 
 	private long lastNumber;
 
-	private Optional<Open> open = Optional.empty();
+	private Optional<OpenProbe> open = Optional.empty();
 
 	ProbeTable(long firstNumber) {
 		this.lastNumber = firstNumber;
@@ -22,72 +22,74 @@
 	// -- own probe
 
 	/**
-	 * Opens the probe of a period.
+	 * Starts the probe of a period.
 	 * @param target the member probed
-	 * @param now the time
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return its number
 	 */
-	long open(MemberRecord target, long now) {
+	long start(MemberRecord target, long nowNanos) {
 		long number = nextNumber();
-		this.open = Optional.of(new Open(number, target.id(), target.address(), target.incarnation(), now, false));
+		this.open = Optional
+			.of(new OpenProbe(number, target.id(), target.address(), target.incarnation(), nowNanos, false));
 		return number;
 	}
 
 	/**
-	 * The probe that is due for help of others.
-	 * @param sentBefore the time before which it was sent
-	 * @return the probe, once
+	 * Returns the probe of this period once it is due for indirect probes.
+	 * @param sentBefore the latest time at which an overdue probe was sent, on the
+	 * monotonic clock, in nanoseconds
+	 * @return the probe, at most once
 	 */
-	Optional<Open> unanswered(long sentBefore) {
-		Optional<Open> due = this.open.filter((probe) -> !probe.helped() && probe.sentAt() <= sentBefore);
-		due.ifPresent((probe) -> this.open = Optional.of(probe.withHelp()));
+	Optional<OpenProbe> takeOverdue(long sentBefore) {
+		Optional<OpenProbe> due = this.open.filter((probe) -> !probe.indirectSent() && probe.sentAt() <= sentBefore);
+		due.ifPresent((probe) -> this.open = Optional.of(probe.withIndirectSent()));
 		return due;
 	}
 
 	/**
-	 * Ends the period.
-	 * @return the probe that nobody answered, empty when it was answered
+	 * Ends the period and returns its probe if it is not acknowledged.
+	 * @return the probe, empty when it was acknowledged
 	 */
-	Optional<Open> failed() {
-		Optional<Open> failed = this.open;
+	Optional<OpenProbe> takeUnacknowledged() {
+		Optional<OpenProbe> unacknowledged = this.open;
 		this.open = Optional.empty();
-		return failed;
+		return unacknowledged;
 	}
 
-	void answered(long number) {
+	void acknowledge(long number) {
 		this.open = this.open.filter((probe) -> probe.number() != number);
 	}
 
-	void drop() {
+	void clear() {
 		this.open = Optional.empty();
 		this.relays.clear();
 	}
 
-	// -- on behalf of others
+	// -- relayed probes
 
 	/**
-	 * Notes a probe sent for another member.
-	 * @param origin the address of the member that asked
-	 * @param number its number there
-	 * @param now the time
-	 * @return the number under which it goes on
+	 * Records a probe that is relayed for another member.
+	 * @param requester the address of the member that requested it
+	 * @param number the number that the requester gave it
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the number of the relayed probe
 	 */
-	long relay(String origin, long number, long now) {
+	long relay(String requester, long number, long nowNanos) {
 		long own = nextNumber();
-		this.relays.put(own, new Relay(origin, number, now));
+		this.relays.put(own, new Relay(requester, number, nowNanos));
 		return own;
 	}
 
-	Optional<Relay> relayed(long number) {
+	Optional<Relay> takeRelay(long number) {
 		return Optional.ofNullable(this.relays.remove(number));
 	}
 
-	void forgetRelays(long sentBefore) {
+	void discardRelays(long sentBefore) {
 		this.relays.values().removeIf((relay) -> relay.sentAt() <= sentBefore);
 	}
 
 	/**
-	 * A number that no open probe has.
+	 * Returns a number that no outstanding probe has.
 	 * @return the number
 	 */
 	long nextNumber() {
@@ -95,15 +97,16 @@
 		return this.lastNumber;
 	}
 
-	record Open(long number, MemberId target, String address, long incarnation, long sentAt, boolean helped) {
+	record OpenProbe(long number, MemberId target, String address, long incarnation, long sentAt,
+			boolean indirectSent) {
 
-		Open withHelp() {
-			return new Open(this.number, this.target, this.address, this.incarnation, this.sentAt, true);
+		OpenProbe withIndirectSent() {
+			return new OpenProbe(this.number, this.target, this.address, this.incarnation, this.sentAt, true);
 		}
 
 	}
 
-	record Relay(String origin, long number, long sentAt) {
+	record Relay(String requester, long number, long sentAt) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/PushBudget.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/PushBudget.java
@@ -4,36 +4,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bounds the bytes of urgent datagrams: a token bucket in bytes. When it is empty, urgent
- * changes still travel in the datagrams of probes.
+ * Token bucket that limits the bytes of urgent datagrams. When it is empty, urgent
+ * changes are still carried by probes.
  */
 final class PushBudget {
 
-	/** Urgent changes that come within this time share datagrams. */
+	/**
+	 * Minimum time between two pushes; urgent changes within this time share datagrams.
+	 */
 	private static final long SPACING_NANOS = Duration.ofMillis(20).toNanos();
 
-	/** Bytes of an urgent datagram besides records, with the headers of IP and UDP. */
+	/**
+	 * Bytes of an urgent datagram without its records, including the IP and UDP headers.
+	 */
 	private static final int HEADER_BYTES = 92;
 
 	private final MembershipSettings settings;
 
 	private double bytes;
 
-	private long filledAt;
+	private long refilledAt;
 
 	private long lastPushAt;
 
 	private boolean requested;
 
-	private PushBudget(MembershipSettings settings, long now) {
+	private PushBudget(MembershipSettings settings, long nowNanos) {
 		this.settings = settings;
 		this.bytes = settings.pushBurstBytes();
-		this.filledAt = now;
-		this.lastPushAt = now - SPACING_NANOS;
+		this.refilledAt = nowNanos;
+		this.lastPushAt = nowNanos - SPACING_NANOS;
 	}
 
-	static PushBudget full(MembershipSettings settings, long now) {
-		return new PushBudget(settings, now);
+	static PushBudget full(MembershipSettings settings, long nowNanos) {
+		return new PushBudget(settings, nowNanos);
 	}
 
 	void request() {
@@ -41,32 +45,33 @@
 	}
 
 	/**
-	 * Requests a push that does not wait for others to share its datagrams, since this
-	 * process may end at once.
+	 * Requests a push that does not wait for further changes to share its datagrams,
+	 * because this process may exit immediately.
 	 */
-	void requestLast() {
+	void requestImmediate() {
 		this.requested = true;
 		this.lastPushAt -= SPACING_NANOS;
 	}
 
 	/**
-	 * Whether to push now; a push that is due is no longer requested.
-	 * @param now the time
-	 * @return true when something urgent waits and the budget allows it
+	 * Returns whether to push now, and clears the request if so.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return true when a push is requested, the minimum time has passed and the budget
+	 * allows it
 	 */
-	boolean due(long now) {
-		if (!this.requested || now - this.lastPushAt < SPACING_NANOS) {
+	boolean due(long nowNanos) {
+		if (!this.requested || nowNanos - this.lastPushAt < SPACING_NANOS) {
 			return false;
 		}
-		double gained = (now - this.filledAt) * (double) this.settings.pushBytesPerSecond()
+		double refill = (nowNanos - this.refilledAt) * (double) this.settings.pushBytesPerSecond()
 				/ TimeUnit.SECONDS.toNanos(1);
-		this.bytes = Math.min(this.settings.pushBurstBytes(), this.bytes + gained);
-		this.filledAt = now;
+		this.bytes = Math.min(this.settings.pushBurstBytes(), this.bytes + refill);
+		this.refilledAt = nowNanos;
 		if (this.bytes <= 0) {
 			return false;
 		}
 		this.requested = false;
-		this.lastPushAt = now;
+		this.lastPushAt = nowNanos;
 		return true;
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/SuspicionTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/SuspicionTable.java
@@ -5,23 +5,24 @@
 import java.util.TreeMap;
 
 /**
- * The table of members that did not answer, with the time until which they may refute.
+ * Suspected members with the times until which they may refute.
  */
 final class SuspicionTable {
 
 	private final Map<MemberId, Suspicion> rows = new TreeMap<>();
 
 	/**
-	 * Notes a suspicion; one that is known keeps its deadline.
+	 * Adds a suspicion; an existing one keeps its deadline.
 	 * @param record the member
-	 * @param deadline when it counts as dead
+	 * @param deadline the time at which the member is declared dead, on the monotonic
+	 * clock, in nanoseconds
 	 */
 	void add(MemberRecord record, long deadline) {
 		this.rows.putIfAbsent(record.id(), new Suspicion(record.id(), record.incarnation(), deadline));
 	}
 
-	void extend(long nanos) {
-		this.rows.replaceAll((_, suspicion) -> suspicion.extended(nanos));
+	void extend(long extensionNanos) {
+		this.rows.replaceAll((_, suspicion) -> suspicion.extended(extensionNanos));
 	}
 
 	void remove(MemberId id) {
@@ -29,30 +30,31 @@
 	}
 
 	/**
-	 * Takes the suspicions out that were not refuted in time.
-	 * @param now the time
+	 * Removes and returns the suspicions that were not refuted in time.
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the suspicions
 	 */
-	List<Suspicion> overdue(long now) {
+	List<Suspicion> takeOverdue(long nowNanos) {
 		if (this.rows.isEmpty()) {
 			return List.of();
 		}
-		List<Suspicion> overdue = this.rows.values().stream().filter((row) -> now >= row.deadline()).toList();
+		List<Suspicion> overdue = this.rows.values().stream().filter((row) -> nowNanos >= row.deadline()).toList();
 		overdue.forEach((suspicion) -> this.rows.remove(suspicion.id()));
 		return overdue;
 	}
 
 	/**
-	 * A member that did not answer.
+	 * A member that did not respond to a probe.
 	 *
 	 * @param id the member
-	 * @param incarnation its incarnation then
-	 * @param deadline when it counts as dead
+	 * @param incarnation its incarnation when it was suspected
+	 * @param deadline the time at which the member is declared dead, on the monotonic
+	 * clock, in nanoseconds
 	 */
 	record Suspicion(MemberId id, long incarnation, long deadline) {
 
-		Suspicion extended(long nanos) {
-			return new Suspicion(this.id, this.incarnation, this.deadline + nanos);
+		Suspicion extended(long extensionNanos) {
+			return new Suspicion(this.id, this.incarnation, this.deadline + extensionNanos);
 		}
 
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/UsageTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/UsageTable.java
@@ -7,11 +7,11 @@
 import java.util.stream.Collectors;
 
 /**
- * The table of what members have in flight, from the digests that they sent themselves.
+ * Tokens in flight at other members, from the digests that they sent.
  *
  * <p>
- * At many members only some were heard lately. The balancer spreads callers evenly, so
- * that those heard stand for the others: the sum is scaled to all.
+ * In a large region only some members have sent a digest recently. The load balancer
+ * spreads callers evenly, so the sum over these members is scaled up to all members.
  */
 final class UsageTable {
 
@@ -21,27 +21,29 @@
 
 	// -- changes
 
-	void own(Map<String, Long> tokensInFlight) {
+	void setOwn(Map<String, Long> tokensInFlight) {
 		this.own = tokensInFlight;
 	}
 
-	void heard(MemberId member, Map<String, Long> tokensInFlight, long now) {
-		this.digests.put(member, new Digest(tokensInFlight, now));
+	void digestReceived(MemberId member, Map<String, Long> tokensInFlight, long nowNanos) {
+		this.digests.put(member, new Digest(tokensInFlight, nowNanos));
 	}
 
-	void forget(MemberId member) {
+	void discard(MemberId member) {
 		this.digests.remove(member);
 	}
 
-	void forget(long now) {
-		this.digests.values().removeIf((digest) -> now - digest.heardAt() > MembershipSettings.USAGE_RETENTION_NANOS);
+	void discard(long nowNanos) {
+		this.digests.values()
+			.removeIf((digest) -> nowNanos - digest.receivedAt() > MembershipSettings.USAGE_RETENTION_NANOS);
 	}
 
 	// -- queries
 
 	/**
-	 * The digest that this member sends.
-	 * @param organisations how many organisations at most, those with the most first
+	 * Returns the digest that this member sends.
+	 * @param organisations the maximum number of organisations, those with the most
+	 * tokens first
 	 * @return tokens in flight by organisation
 	 */
 	Map<String, Long> digest(int organisations) {
@@ -57,25 +59,25 @@
 	}
 
 	/**
-	 * What all other members of a role have in flight.
-	 * @param others how many there are
+	 * Estimates the tokens in flight at all other entry processes.
+	 * @param others the number of other entry processes
 	 * @return tokens in flight by organisation
 	 */
 	Map<String, Long> estimate(int others) {
 		Map<String, Long> sum = new LinkedHashMap<>();
-		int heard = 0;
+		int reporting = 0;
 		for (Map.Entry<MemberId, Digest> entry : this.digests.entrySet()) {
 			if (entry.getKey().role().equals(MemberId.ENTRY)) {
-				heard++;
+				reporting++;
 				entry.getValue().tokensInFlight().forEach((name, tokens) -> sum.merge(name, tokens, Long::sum));
 			}
 		}
-		double scale = (heard > 0) ? Math.max(1.0, (double) others / heard) : 1.0;
+		double scale = (reporting > 0) ? Math.max(1.0, (double) others / reporting) : 1.0;
 		sum.replaceAll((_, tokens) -> Math.round(tokens * scale));
 		return sum;
 	}
 
-	private record Digest(Map<String, Long> tokensInFlight, long heardAt) {
+	private record Digest(Map<String, Long> tokensInFlight, long receivedAt) {
 	}
 
 }
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedTime.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedTime.java
@@ -5,11 +5,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Virtual time: tasks run in the order of their times, those of one time as scheduled.
+ * Virtual clock. Tasks run in the order of their times, and tasks with the same time in
+ * the order in which they were scheduled.
  */
 final class SimulatedTime {
 
-	private static final long MOST_TASKS = 200_000;
+	private static final long MAX_TASKS = 200_000;
 
 	private final PriorityQueue<Task> tasks = new PriorityQueue<>(
 			Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
@@ -30,12 +31,12 @@
 		this.tasks.add(new Task(Math.max(nanos, this.now), this.count++, work));
 	}
 
-	// False when the tasks do not end.
+	// Returns false when the tasks exceed their limit.
 	boolean run() {
 		while (!this.tasks.isEmpty()) {
 			Task task = this.tasks.poll();
 			this.now = task.at();
-			if (task.number() > MOST_TASKS) {
+			if (task.number() > MAX_TASKS) {
 				return false;
 			}
 			task.work().run();
