--- a/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/Connection.java
+++ b/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/Connection.java
@@ -3,7 +3,7 @@
 import org.rosemaryfront.engine.EngineEvent;
 import org.rosemaryfront.model.AttemptId;
 import org.rosemaryfront.model.RequestId;
-import org.rosemaryfront.serving.ServingEvent.Breakage;
+import org.rosemaryfront.serving.ServingEvent.ConnectionFailure;
 
 /** A connection that carries one stream from a runner to an entry process. */
 final class Connection {
@@ -41,14 +41,15 @@
 	void lost() {
 		if (!this.closed) {
 			this.closed = true;
-			this.time.after(this.latencyNanos, () -> this.entry.broken(this.attempt, Breakage.CONNECTION_LOST));
+			this.time.after(this.latencyNanos,
+					() -> this.entry.broken(this.attempt, ConnectionFailure.CONNECTION_LOST));
 		}
 	}
 
 	void silence() {
 		if (!this.closed) {
 			this.closed = true;
-			this.time.after(SILENCE_NANOS, () -> this.entry.broken(this.attempt, Breakage.SILENT));
+			this.time.after(SILENCE_NANOS, () -> this.entry.broken(this.attempt, ConnectionFailure.SILENT));
 		}
 	}
 
--- a/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/ControllerSlope.java
+++ b/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/ControllerSlope.java
@@ -46,7 +46,7 @@
 
 	private static final long DAY_SECONDS = 86_400;
 
-	private CapacityDecisions decisions = CapacityDecisions.of(CapacitySettings.standard(), 1);
+	private CapacityDecisions decisions = CapacityDecisions.of(CapacitySettings.defaults(), 1);
 
 	private final Map<VmId, Engine> engines = new LinkedHashMap<>();
 
@@ -103,7 +103,7 @@
 		long readyAtEnd = ready();
 		this.engines.clear();
 		long heap = usedHeap();
-		this.decisions = CapacityDecisions.of(CapacitySettings.standard(), 1);
+		this.decisions = CapacityDecisions.of(CapacitySettings.defaults(), 1);
 		long bytes = heap - usedHeap();
 		return String.format(Locale.ROOT,
 				"{\"vms\": %d, \"readyAfterFill\": %d, \"readyAtEnd\": %d, \"tickMicrosMean\": %.1f, "
@@ -187,7 +187,7 @@
 				}
 				yield state(order.vm());
 			}
-			case CapacityCommand.AnnounceLeaving leaving -> new CapacityEvent.LeavingLearned(leaving.vm());
+			case CapacityCommand.AnnounceLeaving leaving -> new CapacityEvent.LeavingReported(leaving.vm());
 		};
 	}
 
@@ -197,7 +197,7 @@
 			case OFFERS -> new CapacityEvent.OffersRead(this.offers);
 			case NOTICES -> {
 				Map<VmId, Long> fresh = new HashMap<>();
-				this.notices.subList((int) read.after(), this.notices.size()).forEach((vm) -> fresh.put(vm, 0L));
+				this.notices.subList((int) read.afterNotice(), this.notices.size()).forEach((vm) -> fresh.put(vm, 0L));
 				yield new CapacityEvent.NoticesRead(this.notices.size(), fresh);
 			}
 			case VMS -> {
--- a/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/Entry.java
+++ b/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/Entry.java
@@ -19,7 +19,7 @@
 import org.rosemaryfront.serving.ServingCommand.Mode;
 import org.rosemaryfront.serving.ServingDecisions;
 import org.rosemaryfront.serving.ServingEvent;
-import org.rosemaryfront.serving.ServingEvent.Breakage;
+import org.rosemaryfront.serving.ServingEvent.ConnectionFailure;
 import org.rosemaryfront.standin.engine.ExportedContext;
 
 /** An entry process: decisions, and traffic that does what they say. */
@@ -59,8 +59,8 @@
 				: new ServingEvent.RequestArrived(answer.item.id(), answer.item.spec()));
 	}
 
-	void broken(AttemptId attempt, Breakage breakage) {
-		notify(new ServingEvent.AttemptBroken(attempt, breakage));
+	void broken(AttemptId attempt, ConnectionFailure breakage) {
+		notify(new ServingEvent.AttemptFailed(attempt, breakage));
 	}
 
 	void notify(ServingEvent event) {
@@ -91,7 +91,7 @@
 			case EngineEvent.Heartbeat _ -> {
 			}
 			case EngineEvent.Done done -> done(connection, answer, done.tokens());
-			case EngineEvent.Stopped _ -> broken(connection.attempt, Breakage.CONNECTION_LOST);
+			case EngineEvent.Stopped _ -> broken(connection.attempt, ConnectionFailure.CONNECTION_LOST);
 		}
 	}
 
@@ -162,7 +162,7 @@
 
 	private void open(Runner runner, Answer answer, Connection connection) {
 		if (runner.gone) {
-			this.time.after(CONNECT_TIMEOUT_NANOS, () -> broken(connection.attempt, Breakage.CONNECT_FAILED));
+			this.time.after(CONNECT_TIMEOUT_NANOS, () -> broken(connection.attempt, ConnectionFailure.CONNECT_FAILED));
 			return;
 		}
 		if (!connection.attempt.equals(answer.attempt)) {
@@ -190,7 +190,7 @@
 
 	private void attach(Runner runner, Answer answer, Connection connection, AttemptId stream) {
 		if (runner.gone) {
-			this.time.after(CONNECT_TIMEOUT_NANOS, () -> broken(connection.attempt, Breakage.CONNECT_FAILED));
+			this.time.after(CONNECT_TIMEOUT_NANOS, () -> broken(connection.attempt, ConnectionFailure.CONNECT_FAILED));
 			return;
 		}
 		Optional<List<EngineEvent>> events = runner.attach(stream, answer.tokens, connection);
--- a/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/RoutingSlope.java
+++ b/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/RoutingSlope.java
@@ -64,7 +64,7 @@
 		for (int i = 0; i < runners; i++) {
 			VmId id = new VmId("vm-" + i);
 			String zone = deployment.zones().get(i % deployment.zones().size());
-			this.decisions.accept(new ServingEvent.ServerSeen(id, deployment.pool().name(), zone, id + ":80"),
+			this.decisions.accept(new ServingEvent.ServerDiscovered(id, deployment.pool().name(), zone, id + ":80"),
 					this.now);
 			this.decisions.accept(new ServingEvent.LoadReported(id, i % 4, 0, 200, 0), this.now);
 		}
--- a/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/Run.java
+++ b/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/Run.java
@@ -103,7 +103,7 @@
 	}
 
 	private ServingEvent seen(Runner runner) {
-		return new ServingEvent.ServerSeen(runner.id, this.plan.deployment().pool().name(), runner.zone,
+		return new ServingEvent.ServerDiscovered(runner.id, this.plan.deployment().pool().name(), runner.zone,
 				runner.address());
 	}
 
@@ -178,7 +178,7 @@
 		runner.vanish();
 		for (Entry entry : this.entries) {
 			long lag = (1_000 + this.random.nextInt(1_000)) * VirtualTime.MILLI;
-			this.time.after(lag, () -> entry.notify(new ServingEvent.ServerGone(runner.id)));
+			this.time.after(lag, () -> entry.notify(new ServingEvent.ServerTerminated(runner.id)));
 		}
 	}
 
--- a/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/SimulatedMember.java
+++ b/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/SimulatedMember.java
@@ -134,7 +134,7 @@
 
 	void departureKnown(VmId vm, long now) {
 		this.departures.add(vm);
-		accept(new MembershipEvent.DepartureKnown(new DepartureNotice(vm, DEPARTURE_MILLIS)), now);
+		accept(new MembershipEvent.DepartureDetected(new DepartureNotice(vm, DEPARTURE_MILLIS)), now);
 	}
 
 	// -- systems
@@ -153,11 +153,11 @@
 		for (MembershipCommand command : commands) {
 			switch (command) {
 				case MembershipCommand.Send send -> sends.add(send);
-				case MembershipCommand.DepartureLearned learned -> this.departures.add(learned.notice().vm());
-				case MembershipCommand.PeerHeard peer ->
+				case MembershipCommand.DepartureReceived learned -> this.departures.add(learned.notice().vm());
+				case MembershipCommand.PeerMessageReceived peer ->
 					this.state.accept(new ConfigurationEvent.PeerHeard(peer.address(), peer.revision()), now);
 				case MembershipCommand.MemberChanged changed -> this.changes.add(changed.record());
-				case MembershipCommand.Refuted _, MembershipCommand.PauseSeen _ -> {
+				case MembershipCommand.Refuted _, MembershipCommand.PauseDetected _ -> {
 				}
 			}
 		}
--- a/rosemaryfront-bench/src/test/java/org/rosemaryfront/bench/RandomRunTests.java
+++ b/rosemaryfront-bench/src/test/java/org/rosemaryfront/bench/RandomRunTests.java
@@ -45,7 +45,7 @@
 		Run run = new Run(plan(seed), Policy.CANDIDATE, seed).execute();
 		assertThat(run.answers.values()).filteredOn((answer) -> answer.refusal.isPresent() && answer.tokens > 0)
 			.allSatisfy((answer) -> assertThat(answer.refusedNanos).as("%s, seed %d", answer.item.id(), seed)
-				.isGreaterThan(answer.item.spec().answerNanos()));
+				.isGreaterThan(answer.item.spec().answerDeadlineNanos()));
 	}
 
 	@Test
--- a/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/CapacityExecutor.java
+++ b/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/CapacityExecutor.java
@@ -96,9 +96,9 @@
 			case INTENTS -> this.intents.all().map(CapacityEvent.IntentsRead::new);
 			case VMS -> this.cloud.vms().map((vms) -> new CapacityEvent.VmsRead(asked, WireTypes.vms(vms)));
 			case OFFERS -> this.cloud.offers().map((offers) -> new CapacityEvent.OffersRead(WireTypes.offers(offers)));
-			case NOTICES -> this.cloud.notices(read.after()).map((notices) -> {
+			case NOTICES -> this.cloud.notices(read.afterNotice()).map((notices) -> {
 				Map<VmId, Long> remaining = new HashMap<>();
-				long last = read.after();
+				long last = read.afterNotice();
 				for (CloudClient.Notice notice : notices) {
 					last = Math.max(last, notice.number());
 					remaining.put(notice.vm(), notice.remainingMillis());
@@ -170,7 +170,7 @@
 
 	private void buy(CapacityCommand.Buy buy) {
 		String token = buy.intent().token();
-		if (withheld("purchase", token, new CapacityEvent.BuyUnknown(token))) {
+		if (withheld("purchase", token, new CapacityEvent.BuyOutcomeUnknown(token))) {
 			return;
 		}
 		change(this.cloud.buy(WireTypes.purchase(buy.intent())).timeout(requestTimeout()).<CapacityEvent>map((vm) -> {
@@ -186,7 +186,7 @@
 			EventLog.warn(ControllerEvents.VM_START_REFUSED, "token", token, "sort", buy.intent().sort());
 			return Mono.just(new CapacityEvent.BuyRefused(token));
 		}
-		return failed(ControllerEvents.PURCHASE_UNCERTAIN, token, failure, new CapacityEvent.BuyUnknown(token));
+		return failed(ControllerEvents.PURCHASE_UNCERTAIN, token, failure, new CapacityEvent.BuyOutcomeUnknown(token));
 	}
 
 	// -- VMs
--- a/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/Controller.java
+++ b/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/Controller.java
@@ -97,7 +97,7 @@
 	}
 
 	void leavingLearned(VmId vm) {
-		post(new CapacityEvent.LeavingLearned(vm));
+		post(new CapacityEvent.LeavingReported(vm));
 	}
 
 	private void post(CapacityEvent event) {
--- a/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/ControllerSettings.java
+++ b/rosemaryfront-controller/src/main/java/org/rosemaryfront/controller/ControllerSettings.java
@@ -71,7 +71,7 @@
 
 	/**
 	 * The limits of the capacity decisions; absent ones have the defaults of
-	 * {@link CapacitySettings#standard}.
+	 * {@link CapacitySettings#defaults}.
 	 */
 	record Capacity(Integer startsAtOnce, Integer loadsAtOnce, Long backOffMillis, Long backOffLimitMillis,
 			Long drainMillis, Long serviceDrainMillis, Long bootMillis, Long unreachableMillis,
@@ -79,7 +79,7 @@
 			Double busyShare) {
 
 		Capacity {
-			CapacitySettings standard = CapacitySettings.standard();
+			CapacitySettings standard = CapacitySettings.defaults();
 			startsAtOnce = or(startsAtOnce, standard.startsAtOnce());
 			loadsAtOnce = or(loadsAtOnce, standard.loadsAtOnce());
 			backOffMillis = or(backOffMillis, standard.backOffMillis());
--- a/rosemaryfront-controller/src/test/java/org/rosemaryfront/controller/CapacityExecutorTests.java
+++ b/rosemaryfront-controller/src/test/java/org/rosemaryfront/controller/CapacityExecutorTests.java
@@ -92,7 +92,7 @@
 		executor.execute(write);
 		executor.execute(buy);
 		assertThat(this.answers.subList(0, 3)).containsExactly(new CapacityEvent.IntentFailed("f1-1"),
-				new CapacityEvent.BuyUnknown("f1-1"), new CapacityEvent.IntentWritten("f1-1"));
+				new CapacityEvent.BuyOutcomeUnknown("f1-1"), new CapacityEvent.IntentWritten("f1-1"));
 		assertThat(this.answers.get(3)).isInstanceOf(CapacityEvent.Bought.class);
 		assertThat(this.platform.vms().block()).extracting(CloudClient.Vm::clientToken).containsExactly("f1-1");
 		assertThat(executor.changesUnderWay()).isZero();
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityCommand.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityCommand.java
@@ -16,9 +16,9 @@
 	 * Reads data from the platform.
 	 *
 	 * @param source what to read
-	 * @param after the number of the last notice already read, 0 for other sources
+	 * @param afterNotice the number of the last notice already read, 0 for other sources
 	 */
-	record Read(Source source, long after) implements CapacityCommand {
+	record Read(Source source, long afterNotice) implements CapacityCommand {
 	}
 
 	/**
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityDecisions.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityDecisions.java
@@ -103,7 +103,7 @@
 			case CapacityEvent.OffersRead read -> offersRead(read.offers(), nowNanos);
 			case CapacityEvent.VmsRead read -> vmsRead(read, nowNanos);
 			case CapacityEvent.NoticesRead read -> noticesRead(read, nowNanos);
-			case CapacityEvent.LeavingLearned reported -> {
+			case CapacityEvent.LeavingReported reported -> {
 				this.tables.markLeaving(reported.vm());
 				find(reported.vm()).ifPresent((row) -> row.startDrain(nowNanos, "said-to-be-leaving"));
 			}
@@ -116,7 +116,8 @@
 			case CapacityEvent.Bought bought ->
 				PurchaseSystem.bought(this.tables, bought.token(), bought.vm(), nowNanos);
 			case CapacityEvent.BuyRefused refused -> PurchaseSystem.refused(this.tables, refused.token(), nowNanos);
-			case CapacityEvent.BuyUnknown unknown -> PurchaseSystem.retry(this.tables, unknown.token(), nowNanos);
+			case CapacityEvent.BuyOutcomeUnknown unknown ->
+				PurchaseSystem.retry(this.tables, unknown.token(), nowNanos);
 			case CapacityEvent.Released released -> this.tables.vms.remove(released.vm());
 			case CapacityEvent.ReleaseFailed failed -> find(failed.vm()).ifPresent((row) -> {
 				row.releasePending = false;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityEvent.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacityEvent.java
@@ -66,7 +66,7 @@
 	 *
 	 * @param vm the VM
 	 */
-	record LeavingLearned(VmId vm) implements CapacityEvent {
+	record LeavingReported(VmId vm) implements CapacityEvent {
 	}
 
 	/**
@@ -133,7 +133,7 @@
 	 *
 	 * @param token the token of the purchase
 	 */
-	record BuyUnknown(String token) implements CapacityEvent {
+	record BuyOutcomeUnknown(String token) implements CapacityEvent {
 	}
 
 	/**
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacitySettings.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/capacity/CapacitySettings.java
@@ -30,7 +30,7 @@
 	 * Returns the default limits; the settings' schema gives the reason for each.
 	 * @return the default limits
 	 */
-	public static CapacitySettings standard() {
+	public static CapacitySettings defaults() {
 		return new CapacitySettings(16, 4, 2_000, 120_000, 300_000, 15_000, 300_000, 60_000, 5_000, 1_000, 400, 0.25,
 				0.75);
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimEvent.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimEvent.java
@@ -57,9 +57,9 @@
 	 * @param attempt the number of the attempt
 	 * @param outcome its response
 	 */
-	record Answered(int attempt, ClaimOutcome outcome) implements ClaimEvent {
+	record ResponseReceived(int attempt, ClaimOutcome outcome) implements ClaimEvent {
 
-		public Answered {
+		public ResponseReceived {
 			Objects.requireNonNull(outcome, "outcome is null");
 		}
 
@@ -70,7 +70,7 @@
 	 *
 	 * @param attempt the number of the attempt
 	 */
-	record Broken(int attempt) implements ClaimEvent {
+	record ConnectionBroken(int attempt) implements ClaimEvent {
 	}
 
 	/**
@@ -94,7 +94,7 @@
 	// -- timer
 
 	/** The time returned by {@link ClaimMachine#wakeAt()} has been reached. */
-	record Woken() implements ClaimEvent {
+	record TimerFired() implements ClaimEvent {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/HolderLedger.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimHolderTracker.java
@@ -15,7 +15,7 @@
  * written longer ago than that, so its request has ended, whether its entry process is
  * alive or not.
  */
-public final class HolderLedger {
+public final class ClaimHolderTracker {
 
 	private static final int MAX_CLAIMS = 10_000;
 
@@ -32,7 +32,7 @@
 
 	private final Predicate<ClaimRow.Held> terminated;
 
-	private HolderLedger(Predicate<ClaimRow.Held> terminated) {
+	private ClaimHolderTracker(Predicate<ClaimRow.Held> terminated) {
 		this.terminated = terminated;
 	}
 
@@ -41,8 +41,8 @@
 	 * @param terminated whether the process that wrote a claim has certainly terminated
 	 * @return the tracker
 	 */
-	public static HolderLedger of(Predicate<ClaimRow.Held> terminated) {
-		return new HolderLedger(Objects.requireNonNull(terminated, "terminated is null"));
+	public static ClaimHolderTracker of(Predicate<ClaimRow.Held> terminated) {
+		return new ClaimHolderTracker(Objects.requireNonNull(terminated, "terminated is null"));
 	}
 
 	/**
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimMachine.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/claims/ClaimMachine.java
@@ -113,13 +113,13 @@
 			return List.of();
 		}
 		switch (event) {
-			case ClaimEvent.Answered answer -> answered(answer, nowNanos);
-			case ClaimEvent.Broken broken -> broken(broken, nowNanos);
+			case ClaimEvent.ResponseReceived answer -> answered(answer, nowNanos);
+			case ClaimEvent.ConnectionBroken broken -> broken(broken, nowNanos);
 			case ClaimEvent.NotRun notRun -> notRun(notRun, nowNanos);
 			case ClaimEvent.ReadFailed _ -> readFailed(nowNanos);
 			case ClaimEvent.ReadyToSend ready -> readyToSend(ready, nowNanos);
 			case ClaimEvent.RowRead read -> rowRead(read, nowNanos);
-			case ClaimEvent.Woken _ -> {
+			case ClaimEvent.TimerFired _ -> {
 			}
 			case ClaimEvent.WriteConflicted _ -> writeConflicted();
 			case ClaimEvent.WriteRefused _ -> writeRefused(nowNanos);
@@ -159,7 +159,7 @@
 	}
 
 	/**
-	 * Returns when {@link ClaimEvent.Woken} must be passed in next.
+	 * Returns when {@link ClaimEvent.TimerFired} must be passed in next.
 	 * @return the time on the monotonic clock, in nanoseconds
 	 */
 	public long wakeAt() {
@@ -337,7 +337,7 @@
 		this.commands.add(new ClaimCommand.Permit(ready.attempt()));
 	}
 
-	private void answered(ClaimEvent.Answered event, long nowNanos) {
+	private void answered(ClaimEvent.ResponseReceived event, long nowNanos) {
 		if (event.attempt() != this.attempt || !this.sent) {
 			return;
 		}
@@ -348,7 +348,7 @@
 		}
 	}
 
-	private void broken(ClaimEvent.Broken event, long nowNanos) {
+	private void broken(ClaimEvent.ConnectionBroken event, long nowNanos) {
 		if (this.goal == Goal.RUN && event.attempt() == this.attempt) {
 			failAfterSend("the connection to the backend server broke");
 		}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/Membership.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/Membership.java
@@ -113,10 +113,10 @@
 		switch (event) {
 			case MembershipEvent.MessageArrived arrived -> messageArrived(arrived.from(), arrived.message(), nowNanos);
 			case MembershipEvent.CandidatesListed listed -> this.candidates.update(listed.candidates(), nowNanos);
-			case MembershipEvent.DepartureKnown current -> addDeparture(current.notice(), nowNanos);
+			case MembershipEvent.DepartureDetected current -> addDeparture(current.notice(), nowNanos);
 			case MembershipEvent.LeaveRequested _ -> leave();
 			case MembershipEvent.RevisionInForce inForce -> revisionInForce(inForce.revision());
-			case MembershipEvent.RevisionsAsked _ -> queryRevisions(nowNanos);
+			case MembershipEvent.RevisionsRequested _ -> queryRevisions(nowNanos);
 			case MembershipEvent.UsageMeasured measured -> this.usage.setOwn(measured.tokensInFlight());
 		}
 	}
@@ -131,7 +131,7 @@
 		message.members().forEach((record) -> merge(record, nowNanos));
 		message.departures().forEach((notice) -> {
 			if (addDeparture(notice, nowNanos)) {
-				this.commands.add(new MembershipCommand.DepartureLearned(notice));
+				this.commands.add(new MembershipCommand.DepartureReceived(notice));
 			}
 		});
 		switch (message.kind()) {
@@ -156,7 +156,7 @@
 		if (!(message.kind() instanceof Kind.Gossip)) {
 			this.usage.digestReceived(sender.id(), message.usage(), nowNanos);
 		}
-		this.commands.add(new MembershipCommand.PeerHeard(sender.address(), sender.revision()));
+		this.commands.add(new MembershipCommand.PeerMessageReceived(sender.address(), sender.revision()));
 	}
 
 	private void probeReceived(String from, MemberId sender, Kind.Probe probe, boolean joined, long nowNanos) {
@@ -297,7 +297,7 @@
 			this.probes.clear();
 			this.suspicions.extend(gap);
 			this.nextPeriodAt = nowNanos + this.settings.ackTimeoutNanos();
-			this.commands.add(new MembershipCommand.PauseSeen(gap));
+			this.commands.add(new MembershipCommand.PauseDetected(gap));
 		}
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MembershipCommand.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MembershipCommand.java
@@ -27,7 +27,7 @@
 	 *
 	 * @param notice the departure
 	 */
-	record DepartureLearned(DepartureNotice notice) implements MembershipCommand {
+	record DepartureReceived(DepartureNotice notice) implements MembershipCommand {
 	}
 
 	/**
@@ -36,7 +36,7 @@
 	 * @param address its address
 	 * @param revision the configuration revision in force at that member
 	 */
-	record PeerHeard(String address, long revision) implements MembershipCommand {
+	record PeerMessageReceived(String address, long revision) implements MembershipCommand {
 	}
 
 	/**
@@ -54,7 +54,7 @@
 	 *
 	 * @param nanos the length of the pause, in nanoseconds
 	 */
-	record PauseSeen(long nanos) implements MembershipCommand {
+	record PauseDetected(long nanos) implements MembershipCommand {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MembershipEvent.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/membership/MembershipEvent.java
@@ -40,7 +40,7 @@
 	 *
 	 * @param notice the departure
 	 */
-	record DepartureKnown(DepartureNotice notice) implements MembershipEvent {
+	record DepartureDetected(DepartureNotice notice) implements MembershipEvent {
 	}
 
 	/**
@@ -61,7 +61,7 @@
 	 * The revision in force at each member was requested; members that last reported an
 	 * older revision are queried.
 	 */
-	record RevisionsAsked() implements MembershipEvent {
+	record RevisionsRequested() implements MembershipEvent {
 	}
 
 	/**
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/AdmissionSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/AdmissionSystem.java
@@ -76,7 +76,7 @@
 		double prefillNanos = state.estimates.prefillNanos(request.contextTokens());
 		double answerNanos = state.estimates.answerTokens(request) * state.estimates.tokenNanos();
 		boolean late = nowNanos + waitNanos + prefillNanos > latestStartNanos(request)
-				|| nowNanos + waitNanos + prefillNanos + answerNanos > request.spec.answerNanos();
+				|| nowNanos + waitNanos + prefillNanos + answerNanos > request.spec.answerDeadlineNanos();
 		return late ? refusal(ProblemCode.OVERLOADED, "it could not be answered in time",
 				Duration.ofMillis((long) (waitNanos / 1e6) + 1)) : Optional.empty();
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/EventHandler.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/EventHandler.java
@@ -4,7 +4,7 @@
 
 import org.rosemaryfront.model.RequestId;
 import org.rosemaryfront.model.Verdict;
-import org.rosemaryfront.serving.ServingEvent.Breakage;
+import org.rosemaryfront.serving.ServingEvent.ConnectionFailure;
 import org.rosemaryfront.serving.ServingEvent.Refusal;
 
 /** Records events in the tables; the systems act on them in the next tick. */
@@ -31,12 +31,12 @@
 				this.state.attempts.find(it.attempt()).ifPresent((row) -> handleFinished(row, nowNanos));
 			case ServingEvent.AttemptRefused it ->
 				this.state.attempts.find(it.attempt()).ifPresent((row) -> handleRefused(row, it.refusal(), nowNanos));
-			case ServingEvent.AttemptBroken it -> this.state.attempts.find(it.attempt())
+			case ServingEvent.AttemptFailed it -> this.state.attempts.find(it.attempt())
 				.ifPresent((row) -> handleConnectionFailure(row, it.breakage(), nowNanos));
-			case ServingEvent.ServerSeen it ->
+			case ServingEvent.ServerDiscovered it ->
 				this.state.servers.addOrUpdate(it.server(), it.pool(), it.zone(), it.address());
 			case ServingEvent.ServerLeaving it -> this.state.servers.markLeaving(it.server(), it.goneAtNanos());
-			case ServingEvent.ServerGone it -> handleServerTerminated(it, nowNanos);
+			case ServingEvent.ServerTerminated it -> handleServerTerminated(it, nowNanos);
 			case ServingEvent.LoadReported it -> this.state.servers.find(it.server())
 				.ifPresent((row) -> row.load.applyReport(it.running() + it.queued(), nowNanos - it.ageNanos(),
 						row.attempts.values()));
@@ -115,9 +115,9 @@
 		this.state.failedAttempts.add(new FailedAttempt.Refused(attempt, refusal));
 	}
 
-	private void handleConnectionFailure(Attempt attempt, Breakage failure, long nowNanos) {
+	private void handleConnectionFailure(Attempt attempt, ConnectionFailure failure, long nowNanos) {
 		this.state.end(attempt, nowNanos);
-		if (failure != Breakage.CONNECT_FAILED) {
+		if (failure != ConnectionFailure.CONNECT_FAILED) {
 			attempt.request.verdict = attempt.request.verdict.then(Verdict.mayHaveRun());
 		}
 		this.state.failedAttempts.add(new FailedAttempt.ConnectionFailed(attempt, failure));
@@ -127,10 +127,10 @@
 
 	// The streams of a terminated server end here, because its connections may stay
 	// silent without ever closing.
-	private void handleServerTerminated(ServingEvent.ServerGone terminated, long nowNanos) {
+	private void handleServerTerminated(ServingEvent.ServerTerminated terminated, long nowNanos) {
 		this.state.servers.find(terminated.server())
 			.ifPresent((server) -> List.copyOf(server.attempts.values())
-				.forEach((attempt) -> handleConnectionFailure(attempt, Breakage.CONNECTION_LOST, nowNanos)));
+				.forEach((attempt) -> handleConnectionFailure(attempt, ConnectionFailure.CONNECTION_LOST, nowNanos)));
 		this.state.servers.removeTerminated(terminated.server());
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ExpirySystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ExpirySystem.java
@@ -34,7 +34,7 @@
 	// A partial answer is worth more than an error, so an answer that has begun may take
 	// twice its time before it is cut off.
 	private static long expiryNanos(Request request) {
-		long deadlineNanos = request.spec.answerNanos();
+		long deadlineNanos = request.spec.answerDeadlineNanos();
 		return (request.emittedTokens == 0) ? deadlineNanos : deadlineNanos + (deadlineNanos - request.arrivedNanos);
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/FailedAttempt.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/FailedAttempt.java
@@ -1,6 +1,6 @@
 package org.rosemaryfront.serving;
 
-import org.rosemaryfront.serving.ServingEvent.Breakage;
+import org.rosemaryfront.serving.ServingEvent.ConnectionFailure;
 import org.rosemaryfront.serving.ServingEvent.Refusal;
 
 /** An attempt that ended before the whole answer was received. */
@@ -13,7 +13,7 @@
 	}
 
 	/** The connection to the backend server failed. */
-	record ConnectionFailed(Attempt attempt, Breakage failure) implements FailedAttempt {
+	record ConnectionFailed(Attempt attempt, ConnectionFailure failure) implements FailedAttempt {
 	}
 
 }
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/Shares.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/FairShares.java
@@ -9,7 +9,7 @@
  * The usage of the organisations' shares over all entry processes: the tokens in flight
  * of this process and those from the digests of its peers.
  */
-final class Shares {
+final class FairShares {
 
 	/**
 	 * The number of standard deviations by which an organisation may exceed its slots:
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RequestSpec.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RequestSpec.java
@@ -18,12 +18,12 @@
  * @param firstTokenDeadlineNanos the deadline of the first token, on the monotonic clock,
  * in nanoseconds
  * @param betweenTokensNanos the maximum time between two tokens, in nanoseconds
- * @param answerNanos the deadline of the last token, on the monotonic clock, in
+ * @param answerDeadlineNanos the deadline of the last token, on the monotonic clock, in
  * nanoseconds
  */
 public record RequestSpec(String organisation, String pool, String model, Priority priority, int promptTokens,
 		int maxTokens, List<Long> prefixBlocks, long firstTokenDeadlineNanos, long betweenTokensNanos,
-		long answerNanos) {
+		long answerDeadlineNanos) {
 
 	public RequestSpec {
 		Objects.requireNonNull(organisation, "organisation is null");
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/BreakageSystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/RetrySystem.java
@@ -1,13 +1,13 @@
 package org.rosemaryfront.serving;
 
-import org.rosemaryfront.serving.ServingEvent.Breakage;
+import org.rosemaryfront.serving.ServingEvent.ConnectionFailure;
 import org.rosemaryfront.serving.ServingEvent.Refusal;
 
 /**
  * Reattaches or retries requests whose attempt ended before the whole answer was
  * received.
  */
-final class BreakageSystem implements ServingSystem {
+final class RetrySystem implements ServingSystem {
 
 	/** The maximum number of reattachments to a silent stream before it is replayed. */
 	private static final int MAX_REATTACHMENTS = 2;
@@ -40,7 +40,7 @@
 		switch (failedAttempt) {
 			case FailedAttempt.Refused(Attempt attempt, Refusal refusal) ->
 				handleRefusal(state, attempt, refusal, nowNanos);
-			case FailedAttempt.ConnectionFailed(Attempt attempt, Breakage failure) ->
+			case FailedAttempt.ConnectionFailed(Attempt attempt, ConnectionFailure failure) ->
 				handleConnectionFailure(state, attempt, failure, nowNanos);
 		}
 	}
@@ -60,8 +60,9 @@
 
 	// -- connection failures
 
-	private void handleConnectionFailure(ServingState state, Attempt attempt, Breakage failure, long nowNanos) {
-		if (failure != Breakage.SILENT) {
+	private void handleConnectionFailure(ServingState state, Attempt attempt, ConnectionFailure failure,
+			long nowNanos) {
+		if (failure != ConnectionFailure.SILENT) {
 			attempt.server.failures++;
 			avoidUntil(attempt.server, nowNanos + backoffNanos(state, attempt.server.failures));
 		}
@@ -71,7 +72,7 @@
 					"reattach after " + failure, nowNanos);
 		}
 		else {
-			if (failure != Breakage.CONNECT_FAILED) {
+			if (failure != ConnectionFailure.CONNECT_FAILED) {
 				state.cancelStream(attempt, "replaced after " + failure);
 			}
 			retry(state, attempt, nowNanos);
@@ -82,7 +83,7 @@
 	// two ends lost track of the connection while the stream goes on, so reattaching
 	// recomputes nothing. A lost connection to a leaving server means that its VM was
 	// terminated.
-	private static boolean canReattach(Attempt attempt, Breakage failure) {
+	private static boolean canReattach(Attempt attempt, ConnectionFailure failure) {
 		return switch (failure) {
 			case CONNECT_FAILED -> false;
 			case CONNECTION_LOST -> attempt.server.isLive() && attempt.request.failuresSinceToken == 0;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingEvent.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingEvent.java
@@ -89,7 +89,7 @@
 	 * @param attempt the attempt
 	 * @param breakage the kind of failure
 	 */
-	record AttemptBroken(AttemptId attempt, Breakage breakage) implements ServingEvent {
+	record AttemptFailed(AttemptId attempt, ConnectionFailure breakage) implements ServingEvent {
 	}
 
 	// -- backend servers
@@ -103,7 +103,7 @@
 	 * @param zone its availability zone
 	 * @param address its address, {@code host:port}
 	 */
-	record ServerSeen(VmId server, String pool, String zone, String address) implements ServingEvent {
+	record ServerDiscovered(VmId server, String pool, String zone, String address) implements ServingEvent {
 	}
 
 	/**
@@ -121,7 +121,7 @@
 	 *
 	 * @param server the VM
 	 */
-	record ServerGone(VmId server) implements ServingEvent {
+	record ServerTerminated(VmId server) implements ServingEvent {
 	}
 
 	/**
@@ -192,7 +192,7 @@
 	}
 
 	/** The kind of failure of an attempt's connection. */
-	enum Breakage {
+	enum ConnectionFailure {
 
 		/** No connection was established; nothing was sent. */
 		CONNECT_FAILED,
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingState.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingState.java
@@ -35,7 +35,7 @@
 
 	final SplittableRandom random;
 
-	final Shares shares = new Shares();
+	final FairShares shares = new FairShares();
 
 	final RetryBudget retryBudget;
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/TableServingDecisions.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/TableServingDecisions.java
@@ -16,7 +16,7 @@
 	private TableServingDecisions(ServingState state, Router router) {
 		this.state = state;
 		this.eventHandler = new EventHandler(state);
-		this.systems = List.of(new BreakageSystem(), new EvacuationSystem(router), new ExpirySystem(),
+		this.systems = List.of(new RetrySystem(), new EvacuationSystem(router), new ExpirySystem(),
 				new AdmissionSystem(), new ReroutingSystem(router), new RoutingSystem(router));
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/PoolSizeTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/PoolSizeTests.java
@@ -28,7 +28,7 @@
 
 	private static final int MAXIMUM = 40;
 
-	private final CapacityDecisions decisions = CapacityDecisions.of(CapacitySettings.standard(), 1);
+	private final CapacityDecisions decisions = CapacityDecisions.of(CapacitySettings.defaults(), 1);
 
 	private long now = 1_000 * SECOND;
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/SimulatedController.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/capacity/SimulatedController.java
@@ -89,7 +89,7 @@
 	}
 
 	void reportLeaving(VmId vm) {
-		postEvent(new CapacityEvent.LeavingLearned(vm));
+		postEvent(new CapacityEvent.LeavingReported(vm));
 	}
 
 	void pause(long nanos) {
@@ -256,7 +256,7 @@
 			case NOTICES -> {
 				Map<VmId, Long> remaining = new HashMap<>();
 				List<VmId> all = this.cloud.notices;
-				all.subList((int) read.after(), all.size()).forEach((vm) -> remaining.put(vm, 1L));
+				all.subList((int) read.afterNotice(), all.size()).forEach((vm) -> remaining.put(vm, 1L));
 				yield new CapacityEvent.NoticesRead(all.size(), remaining);
 			}
 		}, this::postEvent, () -> postEvent(new CapacityEvent.ReadFailed(read.source())));
@@ -290,14 +290,14 @@
 
 	private void buy(Intent intent) {
 		String token = intent.token();
-		if (rejectWithoutLease(new CapacityEvent.BuyUnknown(token))) {
+		if (rejectWithoutLease(new CapacityEvent.BuyOutcomeUnknown(token))) {
 			return;
 		}
 		this.simulation.call(() -> {
 			this.cloud.checkIntentWritten(token);
 			return this.cloud.buy(intent);
 		}, (vm) -> postEvent(vm.<CapacityEvent>map((sold) -> new CapacityEvent.Bought(token, sold))
-			.orElse(new CapacityEvent.BuyRefused(token))), () -> postEvent(new CapacityEvent.BuyUnknown(token)));
+			.orElse(new CapacityEvent.BuyRefused(token))), () -> postEvent(new CapacityEvent.BuyOutcomeUnknown(token)));
 	}
 
 	private boolean rejectWithoutLease(CapacityEvent failure) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/ClaimScript.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/ClaimScript.java
@@ -74,7 +74,7 @@
 				this.now = Math.max(this.now, machine.wakeAt());
 				this.faultEnded |= machine.answered() && wakeUps > MAX_WAKE_UPS / 2;
 			}
-			ClaimEvent event = this.events.isEmpty() ? new ClaimEvent.Woken() : this.events.poll();
+			ClaimEvent event = this.events.isEmpty() ? new ClaimEvent.TimerFired() : this.events.poll();
 			execute(machine.accept(event, this.now));
 		}
 	}
@@ -118,10 +118,10 @@
 		}
 		this.runs++;
 		if (active(Fault.SERVICE_BREAKS)) {
-			this.events.add(new ClaimEvent.Broken(attempt));
+			this.events.add(new ClaimEvent.ConnectionBroken(attempt));
 		}
 		else if (!active(Fault.SERVICE_SILENT)) {
-			this.events.add(new ClaimEvent.Answered(attempt, ClaimOutcome.of(201, new TreeMap<>(), "booked")));
+			this.events.add(new ClaimEvent.ResponseReceived(attempt, ClaimOutcome.of(201, new TreeMap<>(), "booked")));
 			reach(Step.ANSWERED);
 		}
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedEntry.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/claims/SimulatedEntry.java
@@ -24,7 +24,7 @@
 
 	private final long clockOffset;
 
-	private final HolderLedger ledger;
+	private final ClaimHolderTracker ledger;
 
 	private final Map<String, OpenCall> openCalls = new HashMap<>();
 
@@ -45,7 +45,7 @@
 		this.times = times;
 		this.violations = violations;
 		this.clockOffset = random.nextLong(1L << 50) - (1L << 49);
-		this.ledger = HolderLedger.of((held) -> terminatedVms.contains(held.vm())
+		this.ledger = ClaimHolderTracker.of((held) -> terminatedVms.contains(held.vm())
 				|| held.vm().equals(this.vm) && !this.openCalls.containsKey(held.token()));
 	}
 
@@ -113,7 +113,7 @@
 	private void wake(OpenCall call, long at) {
 		if (call.wake == at) {
 			call.wake = Long.MIN_VALUE;
-			feed(call, new ClaimEvent.Woken());
+			feed(call, new ClaimEvent.TimerFired());
 		}
 	}
 
@@ -170,17 +170,17 @@
 			}
 			case 3 -> {
 				request.mayHaveRun = true;
-				this.time.after(50, () -> feedAttempt(call, attempt, new ClaimEvent.Broken(attempt)));
+				this.time.after(50, () -> feedAttempt(call, attempt, new ClaimEvent.ConnectionBroken(attempt)));
 			}
 			case 4 -> {
 				request.mayHaveRun = true;
 				run(request);
-				this.time.after(50, () -> feedAttempt(call, attempt, new ClaimEvent.Broken(attempt)));
+				this.time.after(50, () -> feedAttempt(call, attempt, new ClaimEvent.ConnectionBroken(attempt)));
 			}
 			default -> {
 				ClaimOutcome outcome = run(request);
 				this.time.after(5 + this.random.nextInt(200),
-						() -> feedAttempt(call, attempt, new ClaimEvent.Answered(attempt, outcome)));
+						() -> feedAttempt(call, attempt, new ClaimEvent.ResponseReceived(attempt, outcome)));
 			}
 		}
 	}
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashTableTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/crashes/CrashTableTests.java
@@ -25,11 +25,11 @@
 	// -- evidence against a request
 
 	@ParameterizedTest
-	@CsvSource({ "0, Free", "1, Free", "2, Free", "3, Held", "4, Held" })
+	@CsvSource({ "0, Allowed", "1, Allowed", "2, Allowed", "3, Quarantined", "4, Quarantined" })
 	void shouldQuarantineRequestWhenThreeServersCrashed(int crashes, String decision) {
 		crash(HARMFUL, crashes);
 		assertThat(this.table.decide(HARMFUL).getClass().getSimpleName()).isEqualTo(decision);
-		assertThat(this.table.isQuarantined(HARMFUL)).isEqualTo(decision.equals("Held"));
+		assertThat(this.table.isQuarantined(HARMFUL)).isEqualTo(decision.equals("Quarantined"));
 	}
 
 	@Test
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/membership/MembershipTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/membership/MembershipTests.java
@@ -94,7 +94,7 @@
 		this.now += 60 * SECOND;
 		tick();
 		assertThat(changes("vm-2")).containsExactly(MemberState.ALIVE);
-		assertThat(this.commands).hasAtLeastOneElementOfType(MembershipCommand.PauseSeen.class);
+		assertThat(this.commands).hasAtLeastOneElementOfType(MembershipCommand.PauseDetected.class);
 	}
 
 	@Test
@@ -131,7 +131,7 @@
 				List.of(), List.of(notice), Map.of());
 		accept(new MembershipEvent.MessageArrived(OTHER_ADDRESS, message));
 		accept(new MembershipEvent.MessageArrived(OTHER_ADDRESS, message));
-		assertThat(this.commands).filteredOn(MembershipCommand.DepartureLearned.class::isInstance).hasSize(1);
+		assertThat(this.commands).filteredOn(MembershipCommand.DepartureReceived.class::isInstance).hasSize(1);
 		this.commands.clear();
 		tickUntil(3 * SECOND);
 		assertThat(sends().flatMap((send) -> send.message().departures().stream()).toList()).isNotEmpty()
@@ -141,7 +141,7 @@
 	@Test
 	void shouldLimitDatagramSizeWhenManyServersLeave() {
 		for (int i = 0; i < 600; i++) {
-			accept(new MembershipEvent.DepartureKnown(new DepartureNotice(new VmId("runner-" + i), 30_000)));
+			accept(new MembershipEvent.DepartureDetected(new DepartureNotice(new VmId("runner-" + i), 30_000)));
 		}
 		receive("vm-2", new Kind.Gossip());
 		tickUntil(10 * SECOND);
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/RecoveryMatrixTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/RecoveryMatrixTests.java
@@ -17,7 +17,7 @@
 import org.rosemaryfront.serving.ServingCommand.Dispatch;
 import org.rosemaryfront.serving.ServingCommand.Mode;
 import org.rosemaryfront.serving.ServingCommand.Refuse;
-import org.rosemaryfront.serving.ServingEvent.Breakage;
+import org.rosemaryfront.serving.ServingEvent.ConnectionFailure;
 import org.rosemaryfront.serving.ServingEvent.LeavingSource;
 import org.rosemaryfront.serving.ServingEvent.Refusal;
 
@@ -115,18 +115,18 @@
 	private void inject(Fault fault) {
 		if (this.current == null) {
 			if (fault == Fault.SERVER_GONE) {
-				accept(new ServingEvent.ServerGone(new VmId("vm-0")));
+				accept(new ServingEvent.ServerTerminated(new VmId("vm-0")));
 			}
 			tick();
 		}
 		switch (fault) {
-			case CONNECT_FAILED -> failConnection(Breakage.CONNECT_FAILED);
-			case CONNECTION_LOST -> failConnection(Breakage.CONNECTION_LOST);
+			case CONNECT_FAILED -> failConnection(ConnectionFailure.CONNECT_FAILED);
+			case CONNECTION_LOST -> failConnection(ConnectionFailure.CONNECTION_LOST);
 			case CONNECTION_LOST_WHEN_LEAVING -> {
 				announceLeaving(60_000);
-				failConnection(Breakage.CONNECTION_LOST);
+				failConnection(ConnectionFailure.CONNECTION_LOST);
 			}
-			case SILENT -> failConnection(Breakage.SILENT);
+			case SILENT -> failConnection(ConnectionFailure.SILENT);
 			case REFUSED_LEAVING -> refuse(Refusal.LEAVING);
 			case REFUSED_FULL -> refuse(Refusal.FULL);
 			case REFUSED_NOT_LOADED -> refuse(Refusal.NOT_LOADED);
@@ -134,7 +134,7 @@
 			case SERVER_GONE -> {
 				this.leaving.add(this.current.server());
 				this.sendsTokens = false;
-				accept(new ServingEvent.ServerGone(this.current.server()));
+				accept(new ServingEvent.ServerTerminated(this.current.server()));
 			}
 			case SHORT_NOTICE -> announceLeaving(100);
 			case LONG_NOTICE -> announceLeaving(60_000);
@@ -172,15 +172,15 @@
 		}
 		if (terminationNanos != null && this.now >= terminationNanos + 1_000 * MILLI) {
 			this.terminationTimes.remove(this.current.server());
-			accept(new ServingEvent.ServerGone(this.current.server()));
+			accept(new ServingEvent.ServerTerminated(this.current.server()));
 		}
 	}
 
 	// -- events
 
-	private void failConnection(Breakage breakage) {
+	private void failConnection(ConnectionFailure breakage) {
 		this.sendsTokens = false;
-		accept(new ServingEvent.AttemptBroken(this.current.attempt(), breakage));
+		accept(new ServingEvent.AttemptFailed(this.current.attempt(), breakage));
 	}
 
 	private void refuse(Refusal refusal) {
@@ -206,7 +206,7 @@
 	}
 
 	private void addServer(String server) {
-		accept(new ServingEvent.ServerSeen(new VmId(server), "assistant", "a", server + ":80"));
+		accept(new ServingEvent.ServerDiscovered(new VmId(server), "assistant", "a", server + ":80"));
 	}
 
 	private void accept(ServingEvent event) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/ServingDecisionsTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/serving/ServingDecisionsTests.java
@@ -16,7 +16,7 @@
 import org.rosemaryfront.serving.ServingCommand.Dispatch;
 import org.rosemaryfront.serving.ServingCommand.Mode;
 import org.rosemaryfront.serving.ServingCommand.Refuse;
-import org.rosemaryfront.serving.ServingEvent.Breakage;
+import org.rosemaryfront.serving.ServingEvent.ConnectionFailure;
 import org.rosemaryfront.serving.ServingEvent.LeavingSource;
 import org.rosemaryfront.serving.ServingEvent.Refusal;
 
@@ -100,7 +100,7 @@
 			addServer(FIRST);
 		}
 		accept(new ServingEvent.ServerLeaving(FIRST, LeavingSource.PEER, Long.MAX_VALUE));
-		accept(new ServingEvent.ServerGone(FIRST));
+		accept(new ServingEvent.ServerTerminated(FIRST));
 		addServer(FIRST);
 		assertThat(arrive("r").getFirst()).isInstanceOf(Refuse.class);
 	}
@@ -147,12 +147,12 @@
 		Dispatch first = lastDispatch(arrive("r"));
 		addServer(SECOND);
 		accept(new ServingEvent.AttemptAccepted(first.attempt(), 0));
-		Dispatch second = failConnection(first.attempt(), Breakage.SILENT);
+		Dispatch second = failConnection(first.attempt(), ConnectionFailure.SILENT);
 		assertThat(second.mode()).isEqualTo(new Mode.Reattach(first.attempt()));
 		assertThat(second.server()).isEqualTo(FIRST);
-		Dispatch third = failConnection(second.attempt(), Breakage.SILENT);
+		Dispatch third = failConnection(second.attempt(), ConnectionFailure.SILENT);
 		assertThat(third.mode()).isEqualTo(new Mode.Reattach(first.attempt()));
-		accept(new ServingEvent.AttemptBroken(third.attempt(), Breakage.SILENT));
+		accept(new ServingEvent.AttemptFailed(third.attempt(), ConnectionFailure.SILENT));
 		assertThat(tick()).anyMatch(ServingCommand.Cancel.class::isInstance);
 		this.now += 5_000 * MILLI;
 		Dispatch fourth = lastDispatch(tick());
@@ -191,7 +191,7 @@
 		this.now += 200 * MILLI;
 		Dispatch second = lastDispatch(tick());
 		assertThat(second.server()).isEqualTo(SECOND);
-		accept(new ServingEvent.AttemptBroken(second.attempt(), Breakage.CONNECT_FAILED));
+		accept(new ServingEvent.AttemptFailed(second.attempt(), ConnectionFailure.CONNECT_FAILED));
 		this.now += 60_000 * MILLI;
 		Refuse refuse = (Refuse) tick().getLast();
 		assertThat(refuse.problem().verdict()).isEqualTo(Verdict.mayHaveRun());
@@ -224,11 +224,11 @@
 	}
 
 	private void addServer(VmId server) {
-		accept(new ServingEvent.ServerSeen(server, "assistant", "a", server + ":80"));
+		accept(new ServingEvent.ServerDiscovered(server, "assistant", "a", server + ":80"));
 	}
 
-	private Dispatch failConnection(AttemptId attempt, Breakage breakage) {
-		accept(new ServingEvent.AttemptBroken(attempt, breakage));
+	private Dispatch failConnection(AttemptId attempt, ConnectionFailure breakage) {
+		accept(new ServingEvent.AttemptFailed(attempt, breakage));
 		return lastDispatch(tick());
 	}
 
--- a/rosemaryfront-entry/src/main/java/org/rosemaryfront/entry/AttemptTraffic.java
+++ b/rosemaryfront-entry/src/main/java/org/rosemaryfront/entry/AttemptTraffic.java
@@ -30,7 +30,7 @@
 import org.rosemaryfront.serving.ServingCommand;
 import org.rosemaryfront.serving.ServingCommand.Mode;
 import org.rosemaryfront.serving.ServingEvent;
-import org.rosemaryfront.serving.ServingEvent.Breakage;
+import org.rosemaryfront.serving.ServingEvent.ConnectionFailure;
 import org.rosemaryfront.serving.ServingEvent.Refusal;
 
 /**
@@ -124,7 +124,7 @@
 		}
 		Disposable connection = events(stream, attempt, mode, emitted.get()).subscribeOn(Schedulers.parallel())
 			.subscribe((event) -> take(stream, attempt, event), (failure) -> broken(attempt, failure),
-					() -> broken(attempt, EngineException.broken(Breakage.CONNECTION_LOST, null)));
+					() -> broken(attempt, EngineException.broken(ConnectionFailure.CONNECTION_LOST, null)));
 		attempt.connected(connection);
 	}
 
@@ -149,7 +149,8 @@
 		Optional<Resource.Adapter> adapter = this.context.configuration()
 			.find(Resource.Adapter.class, request.call().model());
 		String model = adapter.map(Resource.Adapter::model).orElse(request.call().model());
-		Duration left = Duration.ofNanos(Math.max(0, spec.answerNanos() - System.nanoTime())).plus(EXPIRY_MARGIN);
+		Duration left = Duration.ofNanos(Math.max(0, spec.answerDeadlineNanos() - System.nanoTime()))
+			.plus(EXPIRY_MARGIN);
 		return new StreamOrder(attempt.stream(), model, adapter.map(Resource.Adapter::name).orElse(""),
 				request.call().prompt(), spec.prefixBlocks(), emitted, spec.maxTokens(), priority(spec),
 				(left.compareTo(SHORTEST_EXPIRY) < 0) ? SHORTEST_EXPIRY : left);
@@ -228,7 +229,7 @@
 	void resume(RequestId request) {
 		RunningAttempt attempt = this.current.get(request);
 		if (attempt != null) {
-			this.context.post(new ServingEvent.AttemptBroken(attempt.id(), Breakage.CONNECTION_LOST));
+			this.context.post(new ServingEvent.AttemptFailed(attempt.id(), ConnectionFailure.CONNECTION_LOST));
 		}
 	}
 
@@ -300,7 +301,7 @@
 				Invariants.check(false, ServingEvents.TOKEN_OUT_OF_ORDER, "request", attempt.request(), "attempt",
 						attempt.id(), "index", token.index(), "expected", stream.size());
 				attempt.disconnect();
-				report(attempt, new ServingEvent.AttemptBroken(attempt.id(), Breakage.CONNECTION_LOST));
+				report(attempt, new ServingEvent.AttemptFailed(attempt.id(), ConnectionFailure.CONNECTION_LOST));
 			}
 		}
 	}
@@ -320,7 +321,7 @@
 			case OUT_OF_ORDER -> {
 				Invariants.check(false, ServingEvents.ANSWER_NOT_WHOLE, "request", attempt.request(), "attempt",
 						attempt.id(), "tokens", done.tokens(), "received", stream.size());
-				report(attempt, new ServingEvent.AttemptBroken(attempt.id(), Breakage.CONNECTION_LOST));
+				report(attempt, new ServingEvent.AttemptFailed(attempt.id(), ConnectionFailure.CONNECTION_LOST));
 			}
 		}
 	}
@@ -331,7 +332,7 @@
 		}
 		EventLog.info(ServingEvents.ATTEMPT_BROKEN, "request", attempt.request(), "attempt", attempt.id(), "cause",
 				stopped.reason());
-		report(attempt, new ServingEvent.AttemptBroken(attempt.id(), Breakage.CONNECTION_LOST));
+		report(attempt, new ServingEvent.AttemptFailed(attempt.id(), ConnectionFailure.CONNECTION_LOST));
 	}
 
 	private void broken(RunningAttempt attempt, Throwable failure) {
@@ -348,11 +349,12 @@
 			}
 			return;
 		}
-		Breakage breakage = ((failure instanceof EngineException ex) ? ex.breakage() : Optional.<Breakage>empty())
-			.orElse(Breakage.CONNECTION_LOST);
+		ConnectionFailure breakage = ((failure instanceof EngineException ex) ? ex.breakage()
+				: Optional.<ConnectionFailure>empty())
+			.orElse(ConnectionFailure.CONNECTION_LOST);
 		log(ServingEvents.ATTEMPT_BROKEN, attempt.request(), "broken", "attempt", attempt.id(), "server",
 				attempt.server(), "breakage", breakage);
-		report(attempt, new ServingEvent.AttemptBroken(attempt.id(), breakage));
+		report(attempt, new ServingEvent.AttemptFailed(attempt.id(), breakage));
 	}
 
 	private void report(RunningAttempt attempt, ServingEvent event) {
--- a/rosemaryfront-entry/src/main/java/org/rosemaryfront/entry/CallerServer.java
+++ b/rosemaryfront-entry/src/main/java/org/rosemaryfront/entry/CallerServer.java
@@ -234,7 +234,7 @@
 			stream.callerToldId();
 			return AnswerWriter.stream(response, source);
 		}
-		Duration wait = Duration.ofNanos(stream.request().spec().answerNanos() - System.nanoTime()).plus(IDLE);
+		Duration wait = Duration.ofNanos(stream.request().spec().answerDeadlineNanos() - System.nanoTime()).plus(IDLE);
 		return AnswerWriter.whole(response, source, wait);
 	}
 
--- a/rosemaryfront-entry/src/main/java/org/rosemaryfront/entry/HandoffSender.java
+++ b/rosemaryfront-entry/src/main/java/org/rosemaryfront/entry/HandoffSender.java
@@ -144,7 +144,7 @@
 
 	private static Handoff handoff(AnswerStream stream, List<String> tokens, Optional<AdoptedAttempt> attempt, int i) {
 		AcceptedRequest request = stream.request();
-		long remaining = Math.max(0, request.spec().answerNanos() - System.nanoTime());
+		long remaining = Math.max(0, request.spec().answerDeadlineNanos() - System.nanoTime());
 		Handoff.Builder handoff = Handoff.newBuilder()
 			.setRequest(request.id().value())
 			.setOrganisation(request.organisation())
--- a/rosemaryfront-entry/src/main/java/org/rosemaryfront/entry/ServerDirectory.java
+++ b/rosemaryfront-entry/src/main/java/org/rosemaryfront/entry/ServerDirectory.java
@@ -101,7 +101,7 @@
 		Known known = new Known(vm.vm(), vm.role(), vm.pool(), vm.zone(), vm.address(), this.leaving.contains(vm.vm()));
 		Known before = next.put(vm.vm(), known);
 		if (known.isRunner() && !known.leaving() && !vm.leaving() && !known.equals(before)) {
-			this.listener.post(new ServingEvent.ServerSeen(vm.vm(), vm.pool(), vm.zone(), vm.address()));
+			this.listener.post(new ServingEvent.ServerDiscovered(vm.vm(), vm.pool(), vm.zone(), vm.address()));
 		}
 	}
 
@@ -111,7 +111,7 @@
 				this.missed.remove(vm);
 				next.remove(vm);
 				EventLog.info(ServingEvents.SERVER_GONE, "server", vm);
-				this.listener.post(new ServingEvent.ServerGone(vm));
+				this.listener.post(new ServingEvent.ServerTerminated(vm));
 			}
 		}
 	}
--- a/rosemaryfront-entry/src/main/java/org/rosemaryfront/services/ClaimedCalls.java
+++ b/rosemaryfront-entry/src/main/java/org/rosemaryfront/services/ClaimedCalls.java
@@ -19,12 +19,12 @@
 
 import org.rosemaryfront.claims.ClaimCommand;
 import org.rosemaryfront.claims.ClaimEvent;
+import org.rosemaryfront.claims.ClaimHolderTracker;
 import org.rosemaryfront.claims.ClaimMachine;
 import org.rosemaryfront.claims.ClaimOutcome;
 import org.rosemaryfront.claims.ClaimReply;
 import org.rosemaryfront.claims.ClaimRow;
 import org.rosemaryfront.claims.ClaimTimes;
-import org.rosemaryfront.claims.HolderLedger;
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.events.Invariants;
 import org.rosemaryfront.model.Problem;
@@ -58,7 +58,7 @@
 
 	private final ClaimWriter writer;
 
-	private final HolderLedger ledger;
+	private final ClaimHolderTracker ledger;
 
 	private final Map<String, Open> open = new HashMap<>();
 
@@ -75,7 +75,7 @@
 		this.choice = choice;
 		this.control = control;
 		this.writer = ClaimWriter.of(tables, control, Duration.ofMillis(settings.groupMillis()));
-		this.ledger = HolderLedger.of((held) -> endedHere(held) || entryGone.test(new VmId(held.vm())));
+		this.ledger = ClaimHolderTracker.of((held) -> endedHere(held) || entryGone.test(new VmId(held.vm())));
 	}
 
 	// A claim of this VM by a request that is not open here is one of an earlier process.
@@ -135,7 +135,8 @@
 		call.timer.dispose();
 		if (!call.machine.finished() && call.machine.wakeAt() != Long.MAX_VALUE) {
 			long wait = Math.max(0, call.machine.wakeAt() - System.nanoTime());
-			call.timer = this.control.schedule(() -> feed(call, new ClaimEvent.Woken()), wait, TimeUnit.NANOSECONDS);
+			call.timer = this.control.schedule(() -> feed(call, new ClaimEvent.TimerFired()), wait,
+					TimeUnit.NANOSECONDS);
 		}
 	}
 
@@ -195,7 +196,7 @@
 			.track(server.get(),
 					this.client.sendOnce(server.get(), call.call, remaining, () -> asked, this.settings.answerLimit()))
 			.publishOn(this.control)
-			.subscribe((answer) -> feed(call, new ClaimEvent.Answered(attempt, outcome(call, answer))),
+			.subscribe((answer) -> feed(call, new ClaimEvent.ResponseReceived(attempt, outcome(call, answer))),
 					(failure) -> failed(call, attempt, failure));
 	}
 
@@ -212,7 +213,7 @@
 		EventLog.warn(ServiceEvents.SERVICE_ATTEMPT_FAILED, "request", call.call.id(), "attempt", attempt, "notRun",
 				notRun, "cause", failure.getMessage());
 		feed(call, notRun ? new ClaimEvent.NotRun(attempt, attempt <= this.settings.retriesPerCall())
-				: new ClaimEvent.Broken(attempt));
+				: new ClaimEvent.ConnectionBroken(attempt));
 	}
 
 	private ClaimOutcome outcome(Open call, ServiceAnswer answer) {
--- a/rosemaryfront-entry/src/test/java/org/rosemaryfront/entry/TestEntry.java
+++ b/rosemaryfront-entry/src/test/java/org/rosemaryfront/entry/TestEntry.java
@@ -142,7 +142,7 @@
 	}
 
 	void see(String vm, String zone, FakeEngine engine) {
-		this.control.accept(new ServingEvent.ServerSeen(new VmId(vm), "assistant", zone, engine.address()));
+		this.control.accept(new ServingEvent.ServerDiscovered(new VmId(vm), "assistant", zone, engine.address()));
 	}
 
 	void forgetConfiguration() {
--- a/rosemaryfront-standins/src/test/java/org/rosemaryfront/standin/engine/HttpEngineClientTests.java
+++ b/rosemaryfront-standins/src/test/java/org/rosemaryfront/standin/engine/HttpEngineClientTests.java
@@ -30,7 +30,7 @@
 import org.rosemaryfront.engine.HttpEngineClient;
 import org.rosemaryfront.model.AttemptId;
 import org.rosemaryfront.model.Verdict;
-import org.rosemaryfront.serving.ServingEvent.Breakage;
+import org.rosemaryfront.serving.ServingEvent.ConnectionFailure;
 import org.rosemaryfront.serving.ServingEvent.Refusal;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -125,7 +125,7 @@
 			port = free.getLocalPort();
 		}
 		EngineException failure = failure(this.client.open("127.0.0.1:" + port, order("a", List.of())));
-		assertThat(failure.breakage()).contains(Breakage.CONNECT_FAILED);
+		assertThat(failure.breakage()).contains(ConnectionFailure.CONNECT_FAILED);
 		assertThat(failure.verdict()).isEqualTo(Verdict.notRun());
 	}
 
@@ -157,7 +157,7 @@
 		await(tokens);
 		fault("{\"kind\": \"silent\"}");
 		EngineException failure = broken.block(LIMIT);
-		assertThat(failure.breakage()).contains(Breakage.SILENT);
+		assertThat(failure.breakage()).contains(ConnectionFailure.SILENT);
 		assertThat(failure.verdict()).isEqualTo(Verdict.mayHaveRun());
 		List<String> whole = new ArrayList<>(texts(events));
 		assertThat(whole.size()).isLessThan(3_000);
@@ -173,7 +173,7 @@
 	void shouldNoticeSilenceWhenTheEngineIsFrozen() {
 		fault("{\"kind\": \"freeze\", \"millis\": 60000}");
 		EngineException failure = failure(this.client.open(this.engine.address(), order("a", List.of())));
-		assertThat(failure.breakage()).contains(Breakage.SILENT);
+		assertThat(failure.breakage()).contains(ConnectionFailure.SILENT);
 		assertThat(failure.verdict()).isEqualTo(Verdict.mayHaveRun());
 	}
 
@@ -189,9 +189,9 @@
 		broken.subscribe();
 		await(tokens);
 		post("/standin/v1/halt", "");
-		assertThat(broken.block(LIMIT).breakage()).contains(Breakage.CONNECTION_LOST);
+		assertThat(broken.block(LIMIT).breakage()).contains(ConnectionFailure.CONNECTION_LOST);
 		assertThat(failure(this.client.open(this.engine.address(), order("b", List.of()))).breakage())
-			.contains(Breakage.CONNECTION_LOST);
+			.contains(ConnectionFailure.CONNECTION_LOST);
 		post("/standin/v1/boot", "{\"vm\": \"vm-2\"}");
 		assertThat(failure(this.client.attach(this.engine.address(), id("a"), 0)).refusal())
 			.contains(Refusal.UNKNOWN_STREAM);
@@ -206,7 +206,7 @@
 	void shouldSayThatTheConnectionWasLostWhenTheStreamIsNotWhole(String body) {
 		DisposableServer server = answering(body);
 		EngineException failure = failure(this.client.open(address(server), order("a", List.of())));
-		assertThat(failure.breakage()).contains(Breakage.CONNECTION_LOST);
+		assertThat(failure.breakage()).contains(ConnectionFailure.CONNECTION_LOST);
 		assertThat(failure.verdict()).isEqualTo(Verdict.mayHaveRun());
 		server.disposeNow();
 	}
@@ -250,7 +250,7 @@
 		fault("{\"kind\": \"silent\"}");
 		EngineException failure = catchThrowableOfType(EngineException.class,
 				() -> this.client.state(this.engine.address()).block(LIMIT));
-		assertThat(failure.breakage()).contains(Breakage.SILENT);
+		assertThat(failure.breakage()).contains(ConnectionFailure.SILENT);
 		assertThat(this.client.state(this.engine.address()).block(LIMIT).role()).isEqualTo("serve");
 	}
 
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/engine/EngineException.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/engine/EngineException.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import org.rosemaryfront.model.Verdict;
-import org.rosemaryfront.serving.ServingEvent.Breakage;
+import org.rosemaryfront.serving.ServingEvent.ConnectionFailure;
 import org.rosemaryfront.serving.ServingEvent.Refusal;
 
 /** A call to an engine that failed. */
@@ -16,11 +16,11 @@
 
 	private final Refusal refusal;
 
-	private final Breakage breakage;
+	private final ConnectionFailure breakage;
 
 	private final boolean fenced;
 
-	private EngineException(Verdict verdict, Refusal refusal, Breakage breakage, boolean fenced, String message,
+	private EngineException(Verdict verdict, Refusal refusal, ConnectionFailure breakage, boolean fenced, String message,
 			Throwable cause) {
 		super(message, cause);
 		this.fenced = fenced;
@@ -48,9 +48,9 @@
 	 * @param cause the failure
 	 * @return the exception, with the verdict not-run only for a connection never made
 	 */
-	public static EngineException broken(Breakage breakage, Throwable cause) {
+	public static EngineException broken(ConnectionFailure breakage, Throwable cause) {
 		Objects.requireNonNull(breakage, "breakage is null");
-		Verdict verdict = (breakage == Breakage.CONNECT_FAILED) ? Verdict.notRun() : Verdict.mayHaveRun();
+		Verdict verdict = (breakage == ConnectionFailure.CONNECT_FAILED) ? Verdict.notRun() : Verdict.mayHaveRun();
 		return new EngineException(verdict, null, breakage, false, breakage + ": " + cause, cause);
 	}
 
@@ -95,7 +95,7 @@
 	 * How the call broke off.
 	 * @return how, empty when the engine refused
 	 */
-	public Optional<Breakage> breakage() {
+	public Optional<ConnectionFailure> breakage() {
 		return Optional.ofNullable(this.breakage);
 	}
 
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/engine/HttpEngineClient.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/engine/HttpEngineClient.java
@@ -23,7 +23,7 @@
 
 import org.rosemaryfront.events.EventLog;
 import org.rosemaryfront.model.AttemptId;
-import org.rosemaryfront.serving.ServingEvent.Breakage;
+import org.rosemaryfront.serving.ServingEvent.ConnectionFailure;
 import org.rosemaryfront.serving.ServingEvent.Refusal;
 
 /**
@@ -142,12 +142,12 @@
 				return guard.feed(chunk);
 			}
 			catch (IOException ex) {
-				throw EngineException.broken(Breakage.CONNECTION_LOST, ex);
+				throw EngineException.broken(ConnectionFailure.CONNECTION_LOST, ex);
 			}
 		})
 			.takeUntil((event) -> event instanceof EngineEvent.Done || event instanceof EngineEvent.Stopped)
 			.concatWith(Flux.defer(() -> guard.ended() ? Flux.empty() : Flux
-				.error(EngineException.broken(Breakage.CONNECTION_LOST, new IOException("closed before the end")))));
+				.error(EngineException.broken(ConnectionFailure.CONNECTION_LOST, new IOException("closed before the end")))));
 	}
 
 	// -- state
@@ -220,14 +220,14 @@
 		return known;
 	}
 
-	private static Breakage breakage(boolean sent, Throwable failure) {
+	private static ConnectionFailure breakage(boolean sent, Throwable failure) {
 		if (!sent) {
-			return Breakage.CONNECT_FAILED;
+			return ConnectionFailure.CONNECT_FAILED;
 		}
-		return (failure instanceof TimeoutException) ? Breakage.SILENT : Breakage.CONNECTION_LOST;
+		return (failure instanceof TimeoutException) ? ConnectionFailure.SILENT : ConnectionFailure.CONNECTION_LOST;
 	}
 
-	private static EngineClientEvents event(Breakage breakage) {
+	private static EngineClientEvents event(ConnectionFailure breakage) {
 		return switch (breakage) {
 			case CONNECT_FAILED -> EngineClientEvents.ENGINE_CONNECT_FAILED;
 			case CONNECTION_LOST -> EngineClientEvents.ENGINE_STREAM_LOST;
@@ -245,7 +245,7 @@
 			case "not-loaded" -> EngineException.refused(Refusal.NOT_LOADED, said);
 			case "unknown-stream" -> EngineException.refused(Refusal.UNKNOWN_STREAM, said);
 			case "older-fence", "expired" -> EngineException.rejectedOrder(reason.equals("older-fence"), said);
-			default -> EngineException.broken(Breakage.CONNECTION_LOST, new IOException(said));
+			default -> EngineException.broken(ConnectionFailure.CONNECTION_LOST, new IOException(said));
 		};
 	}
 
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/peer/PeerControl.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/peer/PeerControl.java
@@ -185,8 +185,8 @@
 		switch (command) {
 			case MembershipCommand.Send send -> this.datagrams.send(send.address(), send.message());
 			case MembershipCommand.MemberChanged member -> memberChanged(member.record());
-			case MembershipCommand.DepartureLearned departure -> departureLearned(departure.notice());
-			case MembershipCommand.PeerHeard peer -> {
+			case MembershipCommand.DepartureReceived departure -> departureLearned(departure.notice());
+			case MembershipCommand.PeerMessageReceived peer -> {
 				this.changed = true;
 				this.state.accept(new ConfigurationEvent.PeerHeard(peer.address(), peer.revision()), now);
 			}
@@ -194,7 +194,7 @@
 				this.changed = true;
 				EventLog.info(MembershipEvents.MEMBERSHIP_REFUTED, "incarnation", refuted.incarnation());
 			}
-			case MembershipCommand.PauseSeen pause ->
+			case MembershipCommand.PauseDetected pause ->
 				EventLog.warn(MembershipEvents.PAUSE_SEEN, "millis", TimeUnit.NANOSECONDS.toMillis(pause.nanos()));
 		}
 	}
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/peer/PeerNode.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/peer/PeerNode.java
@@ -148,7 +148,7 @@
 	 * @param remainingMillis the time left, in milliseconds, negative when unknown
 	 */
 	public void announceDeparture(VmId vm, long remainingMillis) {
-		this.control.accept(new MembershipEvent.DepartureKnown(new DepartureNotice(vm, remainingMillis)));
+		this.control.accept(new MembershipEvent.DepartureDetected(new DepartureNotice(vm, remainingMillis)));
 	}
 
 	/**
@@ -173,7 +173,7 @@
 	 * operator who waits: it costs a datagram a member, at most twice a second.
 	 */
 	public void askRevisions() {
-		this.control.accept(new MembershipEvent.RevisionsAsked());
+		this.control.accept(new MembershipEvent.RevisionsRequested());
 	}
 
 	// -- configuration
