--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationCommand.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationCommand.java
@@ -3,19 +3,20 @@
 import org.rosemaryfront.model.Configuration;
 
 /**
- * Something that the caller of {@link ConfigurationState} must do or tell.
+ * An action for the caller of {@link ConfigurationState} to execute, or a change for it
+ * to report.
  */
 public sealed interface ConfigurationCommand {
 
-	/** Read the head from the table service. */
+	/** Read the head revision from the table service. */
 	record ReadHead() implements ConfigurationCommand {
 	}
 
 	/**
 	 * Read the configuration from a peer.
 	 *
-	 * @param address the peer
-	 * @param knownRevision the revision in force here, after which changes are wanted
+	 * @param address the address of the peer
+	 * @param knownRevision the revision in force here; only later changes are needed
 	 */
 	record ReadFromPeer(String address, long knownRevision) implements ConfigurationCommand {
 	}
@@ -23,13 +24,13 @@
 	/**
 	 * Read the configuration from the table service.
 	 *
-	 * @param knownRevision the revision in force here, after which changes are wanted
+	 * @param knownRevision the revision in force here; only later changes are needed
 	 */
 	record ReadFromStore(long knownRevision) implements ConfigurationCommand {
 	}
 
 	/**
-	 * A configuration of a higher revision is in force from now on.
+	 * A configuration with a higher revision has come into force.
 	 *
 	 * @param configuration the configuration
 	 */
@@ -37,27 +38,29 @@
 	}
 
 	/**
-	 * A configuration that was read was dropped, because it is not higher than the one in
-	 * force.
+	 * A configuration was read and discarded, because its revision is not higher than the
+	 * one in force.
 	 *
-	 * @param revision its revision
+	 * @param revision the revision of the discarded configuration
 	 */
 	record Dropped(long revision) implements ConfigurationCommand {
 	}
 
 	/**
-	 * The head in the table service is lower than the revision in force here: the table
-	 * service lost an accepted change. The configuration in force stays.
+	 * The head revision in the table service is lower than the revision in force here,
+	 * which means that the table service lost an accepted change. The configuration in
+	 * force is kept.
 	 *
-	 * @param head the revision of the head
+	 * @param head the head revision in the table service
 	 */
 	record HeadBehind(long head) implements ConfigurationCommand {
 	}
 
 	/**
-	 * Whether new work may be accepted changed.
+	 * The configuration became fresh or stale, so that new work may now be accepted or no
+	 * longer be accepted.
 	 *
-	 * @param fresh whether it may be accepted now
+	 * @param fresh whether new work may be accepted
 	 */
 	record FreshnessChanged(boolean fresh) implements ConfigurationCommand {
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationEvent.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationEvent.java
@@ -5,27 +5,27 @@
 import org.rosemaryfront.model.Configuration;
 
 /**
- * Something that happened and that the state of the configuration must know.
+ * An input event of {@link ConfigurationState}.
  */
 public sealed interface ConfigurationEvent {
 
 	/**
-	 * The head was read from the table service.
+	 * The head revision was read from the table service.
 	 *
-	 * @param revision the revision of the last change, 0 when there was none yet
+	 * @param revision the revision of the last change, or 0 if there was none yet
 	 */
 	record HeadRead(long revision) implements ConfigurationEvent {
 	}
 
-	/** The head could not be read. */
+	/** The head revision could not be read from the table service. */
 	record HeadFailed() implements ConfigurationEvent {
 	}
 
 	/**
-	 * A member said which revision is in force there.
+	 * A peer reported the revision in force there.
 	 *
-	 * @param address its address
-	 * @param revision the revision, 0 when it knows none
+	 * @param address the address of the peer
+	 * @param revision the revision, or 0 if the peer has no configuration
 	 */
 	record PeerHeard(String address, long revision) implements ConfigurationEvent {
 
@@ -38,7 +38,7 @@
 	/**
 	 * A configuration was read from a peer or from the table service.
 	 *
-	 * @param configuration the whole configuration
+	 * @param configuration the complete configuration
 	 */
 	record ConfigurationRead(Configuration configuration) implements ConfigurationEvent {
 
@@ -48,7 +48,7 @@
 
 	}
 
-	/** The configuration could not be read where it was asked for. */
+	/** The configuration could not be read from the peer or the table service. */
 	record ReadFailed() implements ConfigurationEvent {
 	}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationState.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationState.java
@@ -11,14 +11,16 @@
 import org.rosemaryfront.model.Configuration;
 
 /**
- * Which configuration is in force at a member and what it must read to learn a later one.
- * Deterministic: no input or output, the time and the seed are passed in. Used by one
- * thread only.
+ * Tracks the configuration in force at a member and decides what the member reads to
+ * obtain a newer one. Deterministic and free of I/O: the caller passes in the current
+ * time and the seed. Not thread-safe; must be confined to one thread.
  *
  * <p>
- * Members read the head of the table service at a rate that is bounded for all of them
- * together; who sees a change reads it there, and the others hear of its revision from
- * their peers and read it from them. Only a higher revision replaces the one in force.
+ * Members poll the head revision in the table service at a rate that is bounded for all
+ * members together. A member that finds a new revision there reads the configuration from
+ * the table service, unless a peer already has it; the other members receive the revision
+ * from their peers and read the configuration from them. Only a configuration with a
+ * higher revision replaces the one in force.
  *
  * <pre>
  * ConfigurationState state = ConfigurationState.start(ConfigurationTiming.standard(), seed, now);
@@ -28,7 +30,7 @@
  */
 public final class ConfigurationState {
 
-	/** Reads that fail at peers before the table service is asked. */
+	/** The number of failed reads from peers before the table service is tried. */
 	private static final int PEER_ATTEMPTS = 2;
 
 	private final ConfigurationTiming timing;
@@ -53,7 +55,9 @@
 
 	private long headRevision;
 
-	/** No peer has told a higher revision; spares a tick the search of all peers. */
+	/**
+	 * The highest revision reported by any peer; lets a tick skip the scan of all peers.
+	 */
 	private long greatestHeard;
 
 	private Optional<Long> readingSince = Optional.empty();
@@ -74,13 +78,11 @@
 		this.nextReadAt = now;
 	}
 
-	// -- factories
-
 	/**
-	 * Starts without a configuration.
+	 * Creates a state without a configuration.
 	 * @param timing the limits and intervals
-	 * @param seed the seed of its random choices
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
+	 * @param seed the seed for random choices
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the state
 	 */
 	public static ConfigurationState start(ConfigurationTiming timing, long seed, long nowNanos) {
@@ -88,12 +90,10 @@
 		return new ConfigurationState(timing, seed, nowNanos);
 	}
 
-	// -- events
-
 	/**
-	 * Takes an event into the state.
-	 * @param event what happened
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
+	 * Applies an event to the state.
+	 * @param event the event
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void accept(ConfigurationEvent event, long nowNanos) {
 		switch (event) {
@@ -123,9 +123,9 @@
 		this.peers.put(address, new PeerRevision(revision, now));
 	}
 
-	// A configuration can arrive late: read from a peer that was behind, or from a table
-	// service that answered an old question. Without this comparison an accepted
-	// configuration would revert to the older one.
+	// An older configuration can arrive late, from a peer that was behind or as the table
+	// service's response to an earlier request. Without this comparison it would replace
+	// a newer configuration that was already accepted.
 	private void configurationRead(Configuration configuration) {
 		this.readingSince = Optional.empty();
 		this.failedReads = 0;
@@ -146,13 +146,12 @@
 		this.nextReadAt = now + backOff + this.random.nextLong(backOff);
 	}
 
-	// -- systems
-
 	/**
-	 * Runs all systems over the state.
-	 * @param members the number of members that may answer, this one included
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
-	 * @return what the caller must do, in order
+	 * Polls the head revision when due, starts a read if this member is behind, and
+	 * updates the freshness.
+	 * @param members the number of members that may respond, including this one
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the commands for the caller to execute, in order
 	 */
 	public List<ConfigurationCommand> tick(int members, long nowNanos) {
 		pollHead(members, nowNanos);
@@ -209,8 +208,9 @@
 		return new ConfigurationCommand.ReadFromPeer(holder, this.inForce.revision());
 	}
 
-	// A member that starts while the table service is down must not take the first
-	// configuration it hears of, since that peer may be behind; it waits for several.
+	// A member that starts while the table service is down must not read from the first
+	// peer that reports a revision, since that peer may be behind. It waits for reports
+	// from several peers, up to a time limit.
 	private boolean heardEnoughToStart(long now) {
 		long heard = this.peers.values().stream().filter((peer) -> peer.revision() > 0).count();
 		return heard >= this.timing.startPeers() || now - this.startedAt >= this.timing.startWaitNanos();
@@ -239,12 +239,10 @@
 		}
 	}
 
-	// -- queries
-
 	/**
-	 * Whether new work may be accepted, as of the last tick.
-	 * @return true when a configuration is known (that none was declared yet counts, when
-	 * the table service said so) and the table service or a peer was reached within the
+	 * Returns whether new work may be accepted, as of the last tick.
+	 * @return true if a configuration is known, or the table service has reported that
+	 * none was declared yet, and the table service or a peer was reached within the
 	 * staleness limit
 	 */
 	public boolean fresh() {
@@ -252,18 +250,19 @@
 	}
 
 	/**
-	 * Until when new work may be accepted if nobody is reached any more. A process that
-	 * was paused compares it with the clock before its control thread has run again.
-	 * @return the time on the monotonic clock, in nanoseconds, empty when no
-	 * configuration is known
+	 * Returns until when new work may be accepted if neither the table service nor a peer
+	 * is reached again. A process that resumes after a pause compares this time with the
+	 * clock, because its control thread may not have run yet.
+	 * @return the time on the monotonic clock, in nanoseconds; empty if no configuration
+	 * is known
 	 */
 	public Optional<Long> freshUntilNanos() {
 		return this.contactAt.filter((_) -> this.known).map((at) -> at + this.timing.stalenessNanos());
 	}
 
 	/**
-	 * The configuration in force.
-	 * @return the configuration, empty before the first one is known
+	 * Returns the configuration in force.
+	 * @return the configuration; empty until the first one is known
 	 */
 	public Configuration inForce() {
 		return this.inForce;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationTiming.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationTiming.java
@@ -3,33 +3,38 @@
 import java.time.Duration;
 
 /**
- * The limits and intervals of the configuration's propagation.
+ * Limits and intervals for the propagation of the configuration. All times are in
+ * nanoseconds.
  *
- * @param headReadsPerSecond how often all members together read the head, a second
- * @param shortestPollNanos the least time between two reads of the head by one member
- * @param longestPollNanos the greatest time between two reads of the head by one member
- * @param stalenessNanos how long a member that reaches neither the table service nor a
- * peer goes on accepting work
- * @param readTimeoutNanos after which a read that did not end is given up
- * @param startWaitNanos how long a member without a configuration collects the revisions
- * of peers, before it reads from the highest of them
- * @param startPeers how many peers end that wait
+ * @param headReadsPerSecond the number of head reads per second by all members together
+ * @param shortestPollNanos the minimum of the mean interval between two head reads by one
+ * member
+ * @param longestPollNanos the maximum of the mean interval between two head reads by one
+ * member
+ * @param stalenessNanos how long a member continues to accept work while it reaches
+ * neither the table service nor a peer
+ * @param readTimeoutNanos the time after which an unfinished read counts as failed
+ * @param startWaitNanos how long a member without a configuration collects revisions from
+ * its peers before it reads from a peer with the highest revision
+ * @param startPeers the number of peers with a configuration that ends this wait early
  */
 public record ConfigurationTiming(double headReadsPerSecond, long shortestPollNanos, long longestPollNanos,
 		long stalenessNanos, long readTimeoutNanos, long startWaitNanos, int startPeers) {
 
 	/**
-	 * The values for production.
-	 * @return 10 head reads a second, 30 s of staleness
+	 * Returns the timing for production.
+	 * @return a timing with 10 head reads per second and a staleness limit of 30 s
 	 */
 	public static ConfigurationTiming standard() {
 		return of(10, Duration.ofSeconds(30));
 	}
 
 	/**
-	 * The standard values with the two that matter most.
-	 * @param headReadsPerSecond how often all members together read the head, a second
-	 * @param staleness how long a member that reaches nobody goes on accepting work
+	 * Returns the production timing with another head read rate and staleness limit.
+	 * @param headReadsPerSecond the number of head reads per second by all members
+	 * together
+	 * @param staleness how long a member continues to accept work while it reaches
+	 * neither the table service nor a peer
 	 * @return the timing
 	 */
 	public static ConfigurationTiming of(double headReadsPerSecond, Duration staleness) {
@@ -39,11 +44,11 @@
 	}
 
 	/**
-	 * The mean time between two reads of the head by one member. All members together
-	 * read at a fixed rate, whatever their number, so that the table service sees no more
-	 * of it as the fleet grows.
+	 * Returns the mean interval between two head reads by one member. Within the minimum
+	 * and maximum interval, it grows with the number of members, so that the read load on
+	 * the table service does not grow with the fleet.
 	 * @param members the number of members
-	 * @return the time in nanoseconds
+	 * @return the interval in nanoseconds
 	 */
 	public long pollNanos(int members) {
 		double seconds = members / this.headReadsPerSecond;
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/configuration/ConfigurationStateTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/configuration/ConfigurationStateTests.java
@@ -25,13 +25,14 @@
 
 	private final ConfigurationState state = ConfigurationState.start(TIMING, 7, 0);
 
-	// -- in force
+	// -- configuration in force
 
 	@Property(tries = 300, seed = "20261202")
 	void shouldNeverRevert(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
-		// Two operators apply one after the other; an entry reads the second change, then
-		// the answer to an older question arrives from a peer that was behind. If it won,
-		// an accepted configuration would revert on this entry alone.
+		// Two operators apply changes one after the other. An entry reads the second
+		// change and then receives a late response to an earlier request from a peer that
+		// was behind. If the late response took effect, an accepted configuration would
+		// revert on this entry only.
 		SplittableRandom random = new SplittableRandom(seed);
 		ConfigurationState drawn = ConfigurationState.start(TIMING, seed, 0);
 		long now = 0;
@@ -68,13 +69,13 @@
 		assertThat(this.state.inForce().revision()).isEqualTo(9);
 	}
 
-	// -- start
+	// -- startup
 
 	@Test
 	void shouldTakeHighestOfSeveralPeersWhenTheStoreIsDownAtStart() {
 		// An entry starts during an outage of the table service, and the first peer that
-		// it hears is behind. Taking that one it would serve an older configuration than
-		// all others until the outage ends.
+		// reports a revision is behind. If the entry read from that peer, it would serve
+		// an older configuration than all other members until the outage ends.
 		this.state.accept(new ConfigurationEvent.HeadFailed(), 0);
 		hear("old", 3, 0);
 		assertThat(reads(this.state.tick(4, 0))).isEmpty();
@@ -92,7 +93,7 @@
 			.containsExactly(new ConfigurationCommand.ReadFromPeer("only", 0));
 	}
 
-	// -- source
+	// -- source of a read
 
 	@Test
 	void shouldReadFromPeerWhenOneHasTheHead() {
@@ -124,7 +125,7 @@
 		assertThat(asked).hasSize(3).last().isEqualTo(new ConfigurationCommand.ReadFromStore(4));
 	}
 
-	// -- polling
+	// -- polling of the head
 
 	@ParameterizedTest
 	@ValueSource(ints = { 3, 9, 81, 380 })
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/events/EventLog.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/events/EventLog.java
@@ -10,13 +10,13 @@
 import org.tinylog.provider.ProviderRegistry;
 
 /**
- * Writes numbered events, one a line: {@code E2001 REQUEST_DISPATCHED request=r1
+ * Writes numbered events, one per line: {@code E2001 REQUEST_DISPATCHED request=r1
  * server=vm3}.
  *
  * <p>
- * A line is handed to a writing thread over a bounded queue. When nobody reads the output
- * or more is logged than can be written, lines are dropped and counted; work never waits
- * for its log.
+ * Lines pass through a bounded queue to a writer thread. If the output is not read, or
+ * lines are logged faster than they can be written, lines are dropped and counted; a
+ * thread that logs never blocks on the output.
  *
  * <pre>
  * EventLog.info(ServingEvents.REQUEST_DISPATCHED, "request", request, "server", server);
@@ -25,8 +25,8 @@
 public final class EventLog {
 
 	/**
-	 * The lines that may wait, at about 200 bytes each: two seconds of a gateway at its
-	 * greatest load, under a megabyte.
+	 * The maximum number of queued lines: what a gateway logs in two seconds at maximum
+	 * load. At about 200 bytes per line, the queue takes less than 1 MB.
 	 */
 	private static final int WAITING_LINES = 4_096;
 
@@ -44,9 +44,9 @@
 	}
 
 	/**
-	 * Logs something that belongs to normal work.
+	 * Logs an event of normal operation.
 	 * @param code the event
-	 * @param fields names and values in turn
+	 * @param fields alternating field names and values
 	 */
 	public static void info(EventCode code, Object... fields) {
 		String line = line(code, fields);
@@ -54,9 +54,9 @@
 	}
 
 	/**
-	 * Logs a failure that the system handles.
+	 * Logs a failure that the system handles without an operator.
 	 * @param code the event
-	 * @param fields names and values in turn
+	 * @param fields alternating field names and values
 	 */
 	public static void warn(EventCode code, Object... fields) {
 		String line = line(code, fields);
@@ -64,9 +64,9 @@
 	}
 
 	/**
-	 * Logs a failure that a person must look at.
+	 * Logs a failure that requires the attention of an operator.
 	 * @param code the event
-	 * @param fields names and values in turn
+	 * @param fields alternating field names and values
 	 */
 	public static void error(EventCode code, Object... fields) {
 		String line = line(code, fields);
@@ -74,10 +74,10 @@
 	}
 
 	/**
-	 * Logs a failure that a person must look at, with its stack trace.
+	 * Logs a failure that requires the attention of an operator, with its stack trace.
 	 * @param failure the failure
 	 * @param code the event
-	 * @param fields names and values in turn
+	 * @param fields alternating field names and values
 	 */
 	public static void error(Throwable failure, EventCode code, Object... fields) {
 		String line = line(code, fields);
@@ -85,7 +85,7 @@
 	}
 
 	/**
-	 * The lines dropped since the start.
+	 * Returns the number of lines dropped since the start of the process.
 	 * @return the count
 	 */
 	public static long dropped() {
@@ -93,7 +93,8 @@
 	}
 
 	/**
-	 * Writes what is still to be written and ends the log; the last call of a program.
+	 * Waits up to one second for the queued lines to be written, then shuts down the
+	 * logging provider. Must be the last call of a program.
 	 */
 	public static void close() {
 		try {
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/events/Invariants.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/events/Invariants.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Checks that stay on in production: a broken invariant is logged as an error event and
- * counted, and {@code /metrics} shows the count as {@code invariants.broken}.
+ * Checks invariants, also in production. A broken invariant is logged as an error event
+ * and counted; {@code /metrics} reports the count as {@code invariants.broken}.
  */
 public final class Invariants {
 
@@ -14,10 +14,10 @@
 	}
 
 	/**
-	 * Records whether an invariant holds.
-	 * @param holds whether it holds
-	 * @param code the event that names the invariant
-	 * @param fields names and values in turn
+	 * Logs and counts the invariant as broken unless it holds.
+	 * @param holds whether the invariant holds
+	 * @param code the event that identifies the invariant
+	 * @param fields alternating field names and values
 	 * @return {@code holds}
 	 */
 	public static boolean check(boolean holds, EventCode code, Object... fields) {
@@ -29,7 +29,7 @@
 	}
 
 	/**
-	 * How often an invariant was broken in this process.
+	 * Returns how many times an invariant was broken in this process.
 	 * @return the count
 	 */
 	public static long broken() {
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/events/ProgramEvents.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/events/ProgramEvents.java
@@ -1,24 +1,24 @@
 package org.rosemaryfront.events;
 
-/** Events of starting and stopping a program. */
+/** Events of the start, operation and shutdown of a program. */
 public enum ProgramEvents implements EventCode {
 
-	/** The program listens on all its addresses. */
+	/** The program is listening on all its addresses. */
 	PROGRAM_READY(1001),
 
-	/** A stop was asked for; the program finishes what it has. */
+	/** A shutdown was requested; the program completes the work in progress. */
 	PROGRAM_STOPPING(1002),
 
-	/** The program ended in good order. */
+	/** The program shut down cleanly. */
 	PROGRAM_STOPPED(1003),
 
-	/** The program could not start or go on. */
+	/** The program could not start or could not continue. */
 	PROGRAM_FAILED(1004),
 
-	/** A piece of work on the control thread failed; the thread goes on. */
+	/** A task on the control thread failed; the thread continues. */
 	CONTROL_WORK_FAILED(1005),
 
-	/** Lines of the log were dropped, since more came than could be written. */
+	/** Log lines were dropped because they arrived faster than they could be written. */
 	LOG_DROPPED(1006);
 
 	private final int number;
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/lease/LeaseRowCodec.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/lease/LeaseRowCodec.java
@@ -4,15 +4,15 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** The JSON form of a lease's row, both ways. */
+/** Converts lease rows to and from JSON. */
 public final class LeaseRowCodec {
 
 	private LeaseRowCodec() {
 	}
 
 	/**
-	 * Reads a row.
-	 * @param value its value
+	 * Reads a lease row from its JSON form.
+	 * @param value the JSON form
 	 * @return the row
 	 */
 	public static LeaseRow read(JsonNode value) {
@@ -21,9 +21,9 @@
 	}
 
 	/**
-	 * Writes a row.
+	 * Returns the JSON form of a lease row.
 	 * @param row the row
-	 * @return its value
+	 * @return the JSON form
 	 */
 	public static ObjectNode write(LeaseRow row) {
 		return JsonNodeFactory.instance.objectNode()
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/settings/SettingsException.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/settings/SettingsException.java
@@ -1,7 +1,8 @@
 package org.rosemaryfront.settings;
 
 /**
- * A settings file that cannot be used; the message names the place and what is allowed.
+ * Thrown if a settings file cannot be used. The message names the location and what is
+ * allowed there.
  */
 public final class SettingsException extends RuntimeException {
 
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/settings/SettingsFile.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/settings/SettingsFile.java
@@ -17,8 +17,8 @@
 import com.networknt.schema.SpecificationVersion;
 
 /**
- * Reads a program's settings: one JSON file, checked against the JSON schema that ships
- * with the program.
+ * Reads the settings of a program from a JSON file and validates them against the JSON
+ * schema that ships with the program.
  *
  * <pre>
  * EntrySettings settings = SettingsFile.read(file, "/schema/entry.json", EntrySettings.class);
@@ -32,14 +32,14 @@
 	}
 
 	/**
-	 * Reads and checks a settings file.
+	 * Reads and validates a settings file.
 	 * @param <T> the type of the settings
 	 * @param file the file
 	 * @param schema the resource path of the JSON schema
-	 * @param type the record that takes the settings
+	 * @param type the record type to which the settings are mapped
 	 * @return the settings
-	 * @throws SettingsException when the file cannot be read, is no JSON or breaks the
-	 * schema
+	 * @throws SettingsException if the file cannot be read, is not valid JSON or does not
+	 * conform to the schema
 	 */
 	public static <T> T read(Path file, String schema, Class<T> type) {
 		Objects.requireNonNull(file, "file is null");
@@ -63,7 +63,7 @@
 		}
 		catch (JsonProcessingException ex) {
 			throw new SettingsException(file + ":" + ex.getLocation().getLineNr() + ":" + ex.getLocation().getColumnNr()
-					+ ": no valid JSON: " + ex.getOriginalMessage());
+					+ ": not valid JSON: " + ex.getOriginalMessage());
 		}
 		catch (IOException ex) {
 			throw new SettingsException(file + ": cannot be read: " + ex.getMessage());
@@ -73,12 +73,12 @@
 	private static Schema schema(String path, Class<?> type) {
 		try (InputStream in = type.getResourceAsStream(path)) {
 			if (in == null) {
-				throw new SettingsException("the schema " + path + " is missing from the program");
+				throw new SettingsException("schema " + path + " is missing from the resources of the program");
 			}
 			return SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(MAPPER.readTree(in));
 		}
 		catch (IOException ex) {
-			throw new SettingsException("the schema " + path + " cannot be read: " + ex.getMessage());
+			throw new SettingsException("schema " + path + " cannot be read: " + ex.getMessage());
 		}
 	}
 
