--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationState.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationState.java
@@ -45,28 +45,28 @@
 
 	private Configuration inForce = Configuration.empty();
 
-	private boolean known;
+	private boolean configurationKnown;
 
-	private boolean headOpen;
+	private boolean headReadPending;
 
-	private long headAskedAt;
+	private long headReadStartedAt;
 
-	private long nextHeadAt;
+	private long nextHeadReadAt;
 
 	private long headRevision;
 
 	/**
 	 * The highest revision reported by any peer; lets a tick skip the scan of all peers.
 	 */
-	private long greatestHeard;
+	private long highestPeerRevision;
 
-	private Optional<Long> readingSince = Optional.empty();
+	private Optional<Long> readStartedAt = Optional.empty();
 
 	private int failedReads;
 
 	private long nextReadAt;
 
-	private Optional<Long> contactAt = Optional.empty();
+	private Optional<Long> lastContactAt = Optional.empty();
 
 	private boolean fresh;
 
@@ -74,7 +74,7 @@
 		this.timing = timing;
 		this.random = new SplittableRandom(seed);
 		this.startedAt = now;
-		this.nextHeadAt = now;
+		this.nextHeadReadAt = now;
 		this.nextReadAt = now;
 	}
 
@@ -98,28 +98,28 @@
 	public void accept(ConfigurationEvent event, long nowNanos) {
 		switch (event) {
 			case ConfigurationEvent.HeadRead head -> headRead(head.revision(), nowNanos);
-			case ConfigurationEvent.HeadFailed _ -> this.headOpen = false;
-			case ConfigurationEvent.PeerHeard peer -> peerHeard(peer.address(), peer.revision(), nowNanos);
+			case ConfigurationEvent.HeadFailed _ -> this.headReadPending = false;
+			case ConfigurationEvent.PeerHeard peer -> peerRevisionReceived(peer.address(), peer.revision(), nowNanos);
 			case ConfigurationEvent.ConfigurationRead read -> configurationRead(read.configuration());
 			case ConfigurationEvent.ReadFailed _ -> readFailed(nowNanos);
 		}
 	}
 
 	private void headRead(long revision, long now) {
-		this.headOpen = false;
-		this.contactAt = Optional.of(now);
+		this.headReadPending = false;
+		this.lastContactAt = Optional.of(now);
 		this.headRevision = Math.max(this.headRevision, revision);
 		if (revision == 0 && this.inForce.revision() == 0) {
-			this.known = true;
+			this.configurationKnown = true;
 		}
 		if (revision < this.inForce.revision()) {
 			this.commands.add(new ConfigurationCommand.HeadBehind(revision));
 		}
 	}
 
-	private void peerHeard(String address, long revision, long now) {
-		this.contactAt = Optional.of(now);
-		this.greatestHeard = Math.max(this.greatestHeard, revision);
+	private void peerRevisionReceived(String address, long revision, long now) {
+		this.lastContactAt = Optional.of(now);
+		this.highestPeerRevision = Math.max(this.highestPeerRevision, revision);
 		this.peers.put(address, new PeerRevision(revision, now));
 	}
 
@@ -127,11 +127,11 @@
 	// service's response to an earlier request. Without this comparison it would replace
 	// a newer configuration that was already accepted.
 	private void configurationRead(Configuration configuration) {
-		this.readingSince = Optional.empty();
+		this.readStartedAt = Optional.empty();
 		this.failedReads = 0;
 		if (configuration.revision() > this.inForce.revision()) {
 			this.inForce = configuration;
-			this.known = true;
+			this.configurationKnown = true;
 			this.commands.add(new ConfigurationCommand.Applied(configuration));
 		}
 		else {
@@ -140,7 +140,7 @@
 	}
 
 	private void readFailed(long now) {
-		this.readingSince = Optional.empty();
+		this.readStartedAt = Optional.empty();
 		this.failedReads++;
 		long backOff = this.timing.shortestPollNanos() / 4;
 		this.nextReadAt = now + backOff + this.random.nextLong(backOff);
@@ -155,87 +155,87 @@
 	 */
 	public List<ConfigurationCommand> tick(int members, long nowNanos) {
 		pollHead(members, nowNanos);
-		readWhenBehind(nowNanos);
-		judgeFreshness(nowNanos);
+		readIfBehind(nowNanos);
+		updateFreshness(nowNanos);
 		List<ConfigurationCommand> result = List.copyOf(this.commands);
 		this.commands.clear();
 		return result;
 	}
 
 	private void pollHead(int members, long now) {
-		if (this.headOpen && now - this.headAskedAt > this.timing.readTimeoutNanos()) {
-			this.headOpen = false;
+		if (this.headReadPending && now - this.headReadStartedAt > this.timing.readTimeoutNanos()) {
+			this.headReadPending = false;
 		}
-		long poll = this.timing.pollNanos(members);
-		this.nextHeadAt = Math.min(this.nextHeadAt, now + poll * 3 / 2);
-		if (!this.headOpen && now >= this.nextHeadAt) {
-			this.headOpen = true;
-			this.headAskedAt = now;
-			this.nextHeadAt = now + poll / 2 + this.random.nextLong(poll);
-			this.peers.values().removeIf((peer) -> !heardLately(peer, now));
+		long pollInterval = this.timing.pollNanos(members);
+		this.nextHeadReadAt = Math.min(this.nextHeadReadAt, now + pollInterval * 3 / 2);
+		if (!this.headReadPending && now >= this.nextHeadReadAt) {
+			this.headReadPending = true;
+			this.headReadStartedAt = now;
+			this.nextHeadReadAt = now + pollInterval / 2 + this.random.nextLong(pollInterval);
+			this.peers.values().removeIf((peer) -> !isRecent(peer, now));
 			this.commands.add(new ConfigurationCommand.ReadHead());
 		}
 	}
 
-	private void readWhenBehind(long now) {
-		if (this.readingSince.filter((since) -> now - since > this.timing.readTimeoutNanos()).isPresent()) {
+	private void readIfBehind(long now) {
+		if (this.readStartedAt.filter((since) -> now - since > this.timing.readTimeoutNanos()).isPresent()) {
 			readFailed(now);
 		}
-		if (Math.max(this.headRevision, this.greatestHeard) <= this.inForce.revision()) {
+		if (Math.max(this.headRevision, this.highestPeerRevision) <= this.inForce.revision()) {
 			return;
 		}
 		long highest = highestRevision(now);
-		if (this.readingSince.isPresent() || now < this.nextReadAt || highest <= this.inForce.revision()) {
+		if (this.readStartedAt.isPresent() || now < this.nextReadAt || highest <= this.inForce.revision()) {
 			return;
 		}
-		if (this.known || this.headRevision > 0 || heardEnoughToStart(now)) {
-			this.readingSince = Optional.of(now);
-			this.commands.add(source(highest, now));
+		if (this.configurationKnown || this.headRevision > 0 || hasEnoughReportsToStart(now)) {
+			this.readStartedAt = Optional.of(now);
+			this.commands.add(chooseSource(highest, now));
 		}
 	}
 
-	private ConfigurationCommand source(long highest, long now) {
-		List<String> holders = this.peers.entrySet()
+	private ConfigurationCommand chooseSource(long highest, long now) {
+		List<String> upToDatePeers = this.peers.entrySet()
 			.stream()
-			.filter((entry) -> entry.getValue().revision() == highest && heardLately(entry.getValue(), now))
+			.filter((entry) -> entry.getValue().revision() == highest && isRecent(entry.getValue(), now))
 			.map(Map.Entry::getKey)
 			.toList();
 		boolean tryStore = this.failedReads % (PEER_ATTEMPTS + 1) == PEER_ATTEMPTS && this.headRevision > 0;
-		if (holders.isEmpty() || tryStore) {
+		if (upToDatePeers.isEmpty() || tryStore) {
 			return new ConfigurationCommand.ReadFromStore(this.inForce.revision());
 		}
-		String holder = holders.get(this.random.nextInt(holders.size()));
-		return new ConfigurationCommand.ReadFromPeer(holder, this.inForce.revision());
+		String peerAddress = upToDatePeers.get(this.random.nextInt(upToDatePeers.size()));
+		return new ConfigurationCommand.ReadFromPeer(peerAddress, this.inForce.revision());
 	}
 
 	// A member that starts while the table service is down must not read from the first
 	// peer that reports a revision, since that peer may be behind. It waits for reports
 	// from several peers, up to a time limit.
-	private boolean heardEnoughToStart(long now) {
-		long heard = this.peers.values().stream().filter((peer) -> peer.revision() > 0).count();
-		return heard >= this.timing.startPeers() || now - this.startedAt >= this.timing.startWaitNanos();
+	private boolean hasEnoughReportsToStart(long now) {
+		long reportCount = this.peers.values().stream().filter((peer) -> peer.revision() > 0).count();
+		return reportCount >= this.timing.startPeers() || now - this.startedAt >= this.timing.startWaitNanos();
 	}
 
 	private long highestRevision(long now) {
 		long highest = this.headRevision;
 		for (PeerRevision peer : this.peers.values()) {
-			if (heardLately(peer, now)) {
+			if (isRecent(peer, now)) {
 				highest = Math.max(highest, peer.revision());
 			}
 		}
 		return highest;
 	}
 
-	private boolean heardLately(PeerRevision peer, long now) {
-		return now - peer.heardAt() <= this.timing.stalenessNanos();
+	private boolean isRecent(PeerRevision peer, long now) {
+		return now - peer.receivedAt() <= this.timing.stalenessNanos();
 	}
 
-	private void judgeFreshness(long now) {
-		boolean reached = this.contactAt.filter((at) -> now - at <= this.timing.stalenessNanos()).isPresent();
-		boolean judged = this.known && reached;
-		if (judged != this.fresh) {
-			this.fresh = judged;
-			this.commands.add(new ConfigurationCommand.FreshnessChanged(judged));
+	private void updateFreshness(long now) {
+		boolean reached = this.lastContactAt.filter((at) -> now - at <= this.timing.stalenessNanos()).isPresent();
+		boolean freshNow = this.configurationKnown && reached;
+		if (freshNow != this.fresh) {
+			this.fresh = freshNow;
+			this.commands.add(new ConfigurationCommand.FreshnessChanged(freshNow));
 		}
 	}
 
@@ -257,7 +257,7 @@
 	 * is known
 	 */
 	public Optional<Long> freshUntilNanos() {
-		return this.contactAt.filter((_) -> this.known).map((at) -> at + this.timing.stalenessNanos());
+		return this.lastContactAt.filter((_) -> this.configurationKnown).map((at) -> at + this.timing.stalenessNanos());
 	}
 
 	/**
@@ -268,7 +268,7 @@
 		return this.inForce;
 	}
 
-	private record PeerRevision(long revision, long heardAt) {
+	private record PeerRevision(long revision, long receivedAt) {
 	}
 
 }
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/events/EventLog.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/events/EventLog.java
@@ -28,17 +28,17 @@
 	 * The maximum number of queued lines: what a gateway logs in two seconds at maximum
 	 * load. At about 200 bytes per line, the queue takes less than 1 MB.
 	 */
-	private static final int WAITING_LINES = 4_096;
+	private static final int QUEUE_CAPACITY = 4_096;
 
-	private static final long CLOSE_MILLIS = 1_000;
+	private static final long CLOSE_TIMEOUT_MILLIS = 1_000;
 
-	private static final BlockingQueue<Runnable> WAITING = new ArrayBlockingQueue<>(WAITING_LINES);
+	private static final BlockingQueue<Runnable> QUEUE = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
 
 	private static final LongAdder DROPPED = new LongAdder();
 
-	private static final AtomicBoolean STARTED = new AtomicBoolean();
+	private static final AtomicBoolean WRITER_STARTED = new AtomicBoolean();
 
-	private static volatile long reported;
+	private static volatile long reportedDropped;
 
 	private EventLog() {
 	}
@@ -49,8 +49,8 @@
 	 * @param fields alternating field names and values
 	 */
 	public static void info(EventCode code, Object... fields) {
-		String line = line(code, fields);
-		write(() -> Logger.info(line));
+		String line = formatLine(code, fields);
+		enqueue(() -> Logger.info(line));
 	}
 
 	/**
@@ -59,8 +59,8 @@
 	 * @param fields alternating field names and values
 	 */
 	public static void warn(EventCode code, Object... fields) {
-		String line = line(code, fields);
-		write(() -> Logger.warn(line));
+		String line = formatLine(code, fields);
+		enqueue(() -> Logger.warn(line));
 	}
 
 	/**
@@ -69,8 +69,8 @@
 	 * @param fields alternating field names and values
 	 */
 	public static void error(EventCode code, Object... fields) {
-		String line = line(code, fields);
-		write(() -> Logger.error(line));
+		String line = formatLine(code, fields);
+		enqueue(() -> Logger.error(line));
 	}
 
 	/**
@@ -80,8 +80,8 @@
 	 * @param fields alternating field names and values
 	 */
 	public static void error(Throwable failure, EventCode code, Object... fields) {
-		String line = line(code, fields);
-		write(() -> Logger.error(failure, line));
+		String line = formatLine(code, fields);
+		enqueue(() -> Logger.error(failure, line));
 	}
 
 	/**
@@ -98,8 +98,8 @@
 	 */
 	public static void close() {
 		try {
-			long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLOSE_MILLIS);
-			while (!WAITING.isEmpty() && until - System.nanoTime() > 0) {
+			long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLOSE_TIMEOUT_MILLIS);
+			while (!QUEUE.isEmpty() && deadline - System.nanoTime() > 0) {
 				Thread.sleep(1);
 			}
 			ProviderRegistry.getLoggingProvider().shutdown();
@@ -109,21 +109,21 @@
 		}
 	}
 
-	private static void write(Runnable line) {
-		if (STARTED.compareAndSet(false, true)) {
-			Thread writer = new Thread(EventLog::writeAll, "log");
+	private static void enqueue(Runnable line) {
+		if (WRITER_STARTED.compareAndSet(false, true)) {
+			Thread writer = new Thread(EventLog::runWriter, "log");
 			writer.setDaemon(true);
 			writer.start();
 		}
-		if (!WAITING.offer(line)) {
+		if (!QUEUE.offer(line)) {
 			DROPPED.increment();
 		}
 	}
 
-	private static void writeAll() {
+	private static void runWriter() {
 		try {
 			while (true) {
-				WAITING.take().run();
+				QUEUE.take().run();
 				reportDropped();
 			}
 		}
@@ -134,28 +134,28 @@
 
 	private static void reportDropped() {
 		long dropped = DROPPED.sum();
-		if (dropped > reported && WAITING.isEmpty()) {
-			Logger.warn(line(ProgramEvents.LOG_DROPPED, "lines", dropped - reported));
-			reported = dropped;
+		if (dropped > reportedDropped && QUEUE.isEmpty()) {
+			Logger.warn(formatLine(ProgramEvents.LOG_DROPPED, "lines", dropped - reportedDropped));
+			reportedDropped = dropped;
 		}
 	}
 
-	static String line(EventCode code, Object... fields) {
+	static String formatLine(EventCode code, Object... fields) {
 		StringBuilder line = new StringBuilder().append('E').append(code.number()).append(' ').append(code.name());
 		for (int i = 0; i + 1 < fields.length; i += 2) {
-			line.append(' ').append(fields[i]).append('=').append(value(fields[i + 1]));
+			line.append(' ').append(fields[i]).append('=').append(formatValue(fields[i + 1]));
 		}
 		return line.toString();
 	}
 
-	private static String value(Object value) {
+	private static String formatValue(Object value) {
 		String text = String.valueOf(value);
-		boolean plain = !text.isEmpty();
-		for (int i = 0; plain && i < text.length(); i++) {
+		boolean unquoted = !text.isEmpty();
+		for (int i = 0; unquoted && i < text.length(); i++) {
 			char c = text.charAt(i);
-			plain = c > ' ' && c != '"';
+			unquoted = c > ' ' && c != '"';
 		}
-		return plain ? text : '"' + text.replace("\"", "'").replaceAll("[\\r\\n]+", " ") + '"';
+		return unquoted ? text : '"' + text.replace("\"", "'").replaceAll("[\\r\\n]+", " ") + '"';
 	}
 
 }
