--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/events/EventCode.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/events/EventCode.java
@@ -6,8 +6,8 @@
  *
  * <p>
  * The ranges begin at: 1000 program, 2000 serving, 2500 services and claims, 3000
- * configuration, 4000 membership and hand-off, 5000 controller, 6000 operator tools, 7000
- * platform and engine clients, 8000 stand-ins, 9000 broken invariants.
+ * configuration, 4000 membership and hand-off, 5000 controller, 6000 operator interface,
+ * 7000 platform and engine clients, 8000 stand-ins, 9000 broken invariants.
  */
 public interface EventCode {
 
