--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationState.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationState.java
@@ -11,14 +11,16 @@
 import org.rosemaryfront.model.Configuration;
 
 /**
- * Which configuration is in force at a member and what it must read to learn a later one.
- * Deterministic: no input or output, the time and the seed are passed in. Used by one
- * thread only.
+ * Tracks the configuration in force at a member and decides what the member reads to
+ * obtain a newer one. Deterministic and free of I/O: the caller passes in the current
+ * time and the seed. Not thread-safe; must be confined to one thread.
  *
  * <p>
- * Members read the head of the table service at a rate that is bounded for all of them
- * together; who sees a change reads it there, and the others hear of its revision from
- * their peers and read it from them. Only a higher revision replaces the one in force.
+ * Members poll the head revision in the table service at a rate that is bounded for all
+ * members together. A member that finds a new revision there reads the configuration from
+ * the table service, unless a peer already has it; the other members receive the revision
+ * from their peers and read the configuration from them. Only a configuration with a
+ * higher revision replaces the one in force.
  *
  * <pre>
  * ConfigurationState state = ConfigurationState.start(ConfigurationTiming.standard(), seed, now);
@@ -28,7 +30,7 @@
  */
 public final class ConfigurationState {
 
-	/** Reads that fail at peers before the table service is asked. */
+	/** The number of failed reads from peers before the table service is tried. */
 	private static final int PEER_ATTEMPTS = 2;
 
 	private final ConfigurationTiming timing;
@@ -43,26 +45,28 @@
 
 	private Configuration inForce = Configuration.empty();
 
-	private boolean known;
+	private boolean configurationKnown;
 
-	private boolean headOpen;
+	private boolean headReadPending;
 
-	private long headAskedAt;
+	private long headReadStartedAt;
 
-	private long nextHeadAt;
+	private long nextHeadReadAt;
 
 	private long headRevision;
 
-	/** No peer has told a higher revision; spares a tick the search of all peers. */
-	private long greatestHeard;
+	/**
+	 * The highest revision reported by any peer; lets a tick skip the scan of all peers.
+	 */
+	private long highestPeerRevision;
 
-	private Optional<Long> readingSince = Optional.empty();
+	private Optional<Long> readStartedAt = Optional.empty();
 
 	private int failedReads;
 
 	private long nextReadAt;
 
-	private Optional<Long> contactAt = Optional.empty();
+	private Optional<Long> lastContactAt = Optional.empty();
 
 	private boolean fresh;
 
@@ -70,17 +74,15 @@
 		this.timing = timing;
 		this.random = new SplittableRandom(seed);
 		this.startedAt = now;
-		this.nextHeadAt = now;
+		this.nextHeadReadAt = now;
 		this.nextReadAt = now;
 	}
 
-	// -- factories
-
 	/**
-	 * Starts without a configuration.
+	 * Creates a state without a configuration.
 	 * @param timing the limits and intervals
-	 * @param seed the seed of its random choices
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
+	 * @param seed the seed for random choices
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 * @return the state
 	 */
 	public static ConfigurationState start(ConfigurationTiming timing, long seed, long nowNanos) {
@@ -88,50 +90,48 @@
 		return new ConfigurationState(timing, seed, nowNanos);
 	}
 
-	// -- events
-
 	/**
-	 * Takes an event into the state.
-	 * @param event what happened
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
+	 * Applies an event to the state.
+	 * @param event the event
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
 	 */
 	public void accept(ConfigurationEvent event, long nowNanos) {
 		switch (event) {
 			case ConfigurationEvent.HeadRead head -> headRead(head.revision(), nowNanos);
-			case ConfigurationEvent.HeadFailed _ -> this.headOpen = false;
-			case ConfigurationEvent.PeerHeard peer -> peerHeard(peer.address(), peer.revision(), nowNanos);
+			case ConfigurationEvent.HeadFailed _ -> this.headReadPending = false;
+			case ConfigurationEvent.PeerHeard peer -> peerRevisionReceived(peer.address(), peer.revision(), nowNanos);
 			case ConfigurationEvent.ConfigurationRead read -> configurationRead(read.configuration());
 			case ConfigurationEvent.ReadFailed _ -> readFailed(nowNanos);
 		}
 	}
 
 	private void headRead(long revision, long now) {
-		this.headOpen = false;
-		this.contactAt = Optional.of(now);
+		this.headReadPending = false;
+		this.lastContactAt = Optional.of(now);
 		this.headRevision = Math.max(this.headRevision, revision);
 		if (revision == 0 && this.inForce.revision() == 0) {
-			this.known = true;
+			this.configurationKnown = true;
 		}
 		if (revision < this.inForce.revision()) {
 			this.commands.add(new ConfigurationCommand.HeadBehind(revision));
 		}
 	}
 
-	private void peerHeard(String address, long revision, long now) {
-		this.contactAt = Optional.of(now);
-		this.greatestHeard = Math.max(this.greatestHeard, revision);
+	private void peerRevisionReceived(String address, long revision, long now) {
+		this.lastContactAt = Optional.of(now);
+		this.highestPeerRevision = Math.max(this.highestPeerRevision, revision);
 		this.peers.put(address, new PeerRevision(revision, now));
 	}
 
-	// A configuration can arrive late: read from a peer that was behind, or from a table
-	// service that answered an old question. Without this comparison an accepted
-	// configuration would revert to the older one.
+	// An older configuration can arrive late, from a peer that was behind or as the table
+	// service's response to an earlier request. Without this comparison it would replace
+	// a newer configuration that was already accepted.
 	private void configurationRead(Configuration configuration) {
-		this.readingSince = Optional.empty();
+		this.readStartedAt = Optional.empty();
 		this.failedReads = 0;
 		if (configuration.revision() > this.inForce.revision()) {
 			this.inForce = configuration;
-			this.known = true;
+			this.configurationKnown = true;
 			this.commands.add(new ConfigurationCommand.Applied(configuration));
 		}
 		else {
@@ -140,111 +140,109 @@
 	}
 
 	private void readFailed(long now) {
-		this.readingSince = Optional.empty();
+		this.readStartedAt = Optional.empty();
 		this.failedReads++;
 		long backOff = this.timing.shortestPollNanos() / 4;
 		this.nextReadAt = now + backOff + this.random.nextLong(backOff);
 	}
 
-	// -- systems
-
 	/**
-	 * Runs all systems over the state.
-	 * @param members the number of members that may answer, this one included
-	 * @param nowNanos the time on the monotonic clock, in nanoseconds
-	 * @return what the caller must do, in order
+	 * Polls the head revision when due, starts a read if this member is behind, and
+	 * updates the freshness.
+	 * @param members the number of members that may respond, including this one
+	 * @param nowNanos the current time on the monotonic clock, in nanoseconds
+	 * @return the commands for the caller to execute, in order
 	 */
 	public List<ConfigurationCommand> tick(int members, long nowNanos) {
 		pollHead(members, nowNanos);
-		readWhenBehind(nowNanos);
-		judgeFreshness(nowNanos);
+		readIfBehind(nowNanos);
+		updateFreshness(nowNanos);
 		List<ConfigurationCommand> result = List.copyOf(this.commands);
 		this.commands.clear();
 		return result;
 	}
 
 	private void pollHead(int members, long now) {
-		if (this.headOpen && now - this.headAskedAt > this.timing.readTimeoutNanos()) {
-			this.headOpen = false;
+		if (this.headReadPending && now - this.headReadStartedAt > this.timing.readTimeoutNanos()) {
+			this.headReadPending = false;
 		}
-		long poll = this.timing.pollNanos(members);
-		this.nextHeadAt = Math.min(this.nextHeadAt, now + poll * 3 / 2);
-		if (!this.headOpen && now >= this.nextHeadAt) {
-			this.headOpen = true;
-			this.headAskedAt = now;
-			this.nextHeadAt = now + poll / 2 + this.random.nextLong(poll);
-			this.peers.values().removeIf((peer) -> !heardLately(peer, now));
+		long pollInterval = this.timing.pollNanos(members);
+		this.nextHeadReadAt = Math.min(this.nextHeadReadAt, now + pollInterval * 3 / 2);
+		if (!this.headReadPending && now >= this.nextHeadReadAt) {
+			this.headReadPending = true;
+			this.headReadStartedAt = now;
+			this.nextHeadReadAt = now + pollInterval / 2 + this.random.nextLong(pollInterval);
+			this.peers.values().removeIf((peer) -> !isRecent(peer, now));
 			this.commands.add(new ConfigurationCommand.ReadHead());
 		}
 	}
 
-	private void readWhenBehind(long now) {
-		if (this.readingSince.filter((since) -> now - since > this.timing.readTimeoutNanos()).isPresent()) {
+	private void readIfBehind(long now) {
+		if (this.readStartedAt.filter((since) -> now - since > this.timing.readTimeoutNanos()).isPresent()) {
 			readFailed(now);
 		}
-		if (Math.max(this.headRevision, this.greatestHeard) <= this.inForce.revision()) {
+		if (Math.max(this.headRevision, this.highestPeerRevision) <= this.inForce.revision()) {
 			return;
 		}
 		long highest = highestRevision(now);
-		if (this.readingSince.isPresent() || now < this.nextReadAt || highest <= this.inForce.revision()) {
+		if (this.readStartedAt.isPresent() || now < this.nextReadAt || highest <= this.inForce.revision()) {
 			return;
 		}
-		if (this.known || this.headRevision > 0 || heardEnoughToStart(now)) {
-			this.readingSince = Optional.of(now);
-			this.commands.add(source(highest, now));
+		if (this.configurationKnown || this.headRevision > 0 || hasEnoughReportsToStart(now)) {
+			this.readStartedAt = Optional.of(now);
+			this.commands.add(chooseSource(highest, now));
 		}
 	}
 
-	private ConfigurationCommand source(long highest, long now) {
-		List<String> holders = this.peers.entrySet()
+	private ConfigurationCommand chooseSource(long highest, long now) {
+		List<String> upToDatePeers = this.peers.entrySet()
 			.stream()
-			.filter((entry) -> entry.getValue().revision() == highest && heardLately(entry.getValue(), now))
+			.filter((entry) -> entry.getValue().revision() == highest && isRecent(entry.getValue(), now))
 			.map(Map.Entry::getKey)
 			.toList();
 		boolean tryStore = this.failedReads % (PEER_ATTEMPTS + 1) == PEER_ATTEMPTS && this.headRevision > 0;
-		if (holders.isEmpty() || tryStore) {
+		if (upToDatePeers.isEmpty() || tryStore) {
 			return new ConfigurationCommand.ReadFromStore(this.inForce.revision());
 		}
-		String holder = holders.get(this.random.nextInt(holders.size()));
-		return new ConfigurationCommand.ReadFromPeer(holder, this.inForce.revision());
+		String peerAddress = upToDatePeers.get(this.random.nextInt(upToDatePeers.size()));
+		return new ConfigurationCommand.ReadFromPeer(peerAddress, this.inForce.revision());
 	}
 
-	// A member that starts while the table service is down must not take the first
-	// configuration it hears of, since that peer may be behind; it waits for several.
-	private boolean heardEnoughToStart(long now) {
-		long heard = this.peers.values().stream().filter((peer) -> peer.revision() > 0).count();
-		return heard >= this.timing.startPeers() || now - this.startedAt >= this.timing.startWaitNanos();
+	// A member that starts while the table service is down must not read from the first
+	// peer that reports a revision, since that peer may be behind. It waits for reports
+	// from several peers, up to a time limit.
+	private boolean hasEnoughReportsToStart(long now) {
+		long reportCount = this.peers.values().stream().filter((peer) -> peer.revision() > 0).count();
+		return reportCount >= this.timing.startPeers() || now - this.startedAt >= this.timing.startWaitNanos();
 	}
 
 	private long highestRevision(long now) {
 		long highest = this.headRevision;
 		for (PeerRevision peer : this.peers.values()) {
-			if (heardLately(peer, now)) {
+			if (isRecent(peer, now)) {
 				highest = Math.max(highest, peer.revision());
 			}
 		}
 		return highest;
 	}
 
-	private boolean heardLately(PeerRevision peer, long now) {
-		return now - peer.heardAt() <= this.timing.stalenessNanos();
+	private boolean isRecent(PeerRevision peer, long now) {
+		return now - peer.receivedAt() <= this.timing.stalenessNanos();
 	}
 
-	private void judgeFreshness(long now) {
-		boolean reached = this.contactAt.filter((at) -> now - at <= this.timing.stalenessNanos()).isPresent();
-		boolean judged = this.known && reached;
-		if (judged != this.fresh) {
-			this.fresh = judged;
-			this.commands.add(new ConfigurationCommand.FreshnessChanged(judged));
+	private void updateFreshness(long now) {
+		boolean reached = this.lastContactAt.filter((at) -> now - at <= this.timing.stalenessNanos()).isPresent();
+		boolean freshNow = this.configurationKnown && reached;
+		if (freshNow != this.fresh) {
+			this.fresh = freshNow;
+			this.commands.add(new ConfigurationCommand.FreshnessChanged(freshNow));
 		}
 	}
 
-	// -- queries
-
 	/**
-	 * Whether new work may be accepted, as of the last tick.
-	 * @return true when a configuration is known (that none was declared yet counts, when
-	 * the table service said so) and the table service or a peer was reached within the
+	 * Returns whether new work may be accepted, as of the last tick.
+	 * @return true if a configuration is known, or the table service has reported that
+	 * none was declared yet, and the table service or a peer was reached within the
 	 * staleness limit
 	 */
 	public boolean fresh() {
@@ -252,24 +250,25 @@
 	}
 
 	/**
-	 * Until when new work may be accepted if nobody is reached any more. A process that
-	 * was paused compares it with the clock before its control thread has run again.
-	 * @return the time on the monotonic clock, in nanoseconds, empty when no
-	 * configuration is known
+	 * Returns until when new work may be accepted if neither the table service nor a peer
+	 * is reached again. A process that resumes after a pause compares this time with the
+	 * clock, because its control thread may not have run yet.
+	 * @return the time on the monotonic clock, in nanoseconds; empty if no configuration
+	 * is known
 	 */
 	public Optional<Long> freshUntilNanos() {
-		return this.contactAt.filter((_) -> this.known).map((at) -> at + this.timing.stalenessNanos());
+		return this.lastContactAt.filter((_) -> this.configurationKnown).map((at) -> at + this.timing.stalenessNanos());
 	}
 
 	/**
-	 * The configuration in force.
-	 * @return the configuration, empty before the first one is known
+	 * Returns the configuration in force.
+	 * @return the configuration; empty until the first one is known
 	 */
 	public Configuration inForce() {
 		return this.inForce;
 	}
 
-	private record PeerRevision(long revision, long heardAt) {
+	private record PeerRevision(long revision, long receivedAt) {
 	}
 
 }
