--- a/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Call.java
+++ b/rosemaryfront-gateway/src/main/java/org/rosemaryfront/traffic/Call.java
@@ -360,10 +360,8 @@
 	}
 
 	// Whether the request is quarantined is known only with its digest at the end of the
-	// body.
-	// A server does not execute the request before that, but one that responds before it
-	// has
-	// read the whole body may have executed it.
+	// body. A server does not execute the request before that, but one that responds
+	// before it has read the whole body may have executed it.
 	private void endRequestStream() {
 		if (this.gateway.policy().isQuarantined(this)) {
 			abortResponse("the request is quarantined");
