--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/AttemptId.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/AttemptId.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * The identifier of a attempt to run a request on one backend server.
+ * Identifies an attempt to run a request on one backend server.
  *
  * @param value the text form
  */
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Configuration.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Configuration.java
@@ -9,11 +9,11 @@
 import java.util.stream.Stream;
 
 /**
- * All resources at one revision.
+ * Holds all declared resources at one revision.
  *
  * <p>
- * A process replaces its configuration only by one of a higher revision; that is what
- * keeps an accepted configuration from reverting.
+ * A process replaces its configuration only with one of a higher revision, so that an
+ * accepted configuration is never reverted.
  *
  * <pre>
  * Configuration next = Configuration.empty().with(1, List.of(pool), List.of());
@@ -32,18 +32,16 @@
 		this.resources = resources;
 	}
 
-	// -- factories
-
 	/**
-	 * The configuration before the first declaration.
-	 * @return revision 0 without resources
+	 * Returns the configuration before the first change.
+	 * @return an empty configuration at revision 0
 	 */
 	public static Configuration empty() {
 		return EMPTY;
 	}
 
 	/**
-	 * A configuration read as a whole.
+	 * Creates a configuration from a complete set of resources.
 	 * @param revision the revision
 	 * @param resources all resources at that revision
 	 * @return the configuration
@@ -55,10 +53,8 @@
 		return new Configuration(revision, Collections.unmodifiableSortedMap(table));
 	}
 
-	// -- changes
-
 	/**
-	 * The configuration after a change.
+	 * Returns this configuration with a change applied.
 	 * @param next the revision of the change
 	 * @param changed the resources created or replaced
 	 * @param deleted the resources removed
@@ -73,10 +69,8 @@
 		return new Configuration(next, Collections.unmodifiableSortedMap(table));
 	}
 
-	// -- queries
-
 	/**
-	 * All resources of a type, by name.
+	 * Returns all resources of a type in order of their names.
 	 * @param <T> the type
 	 * @param type the class of the type
 	 * @return the resources
@@ -90,16 +84,16 @@
 	 * @param <T> the type
 	 * @param type the class of the type
 	 * @param name the name
-	 * @return the resource, empty when there is none
+	 * @return the resource, or empty if there is none
 	 */
 	public <T extends Resource> Optional<T> find(Class<T> type, String name) {
 		return all(type).filter((resource) -> resource.name().equals(name)).findFirst();
 	}
 
 	/**
-	 * The pool that serves a model or an adapter.
-	 * @param modelOrAdapter the name callers use
-	 * @return the pool, empty when none serves it
+	 * Finds the pool that serves a model or an adapter.
+	 * @param modelOrAdapter the name of the model or adapter in a request
+	 * @return the pool, or empty if no pool serves it
 	 */
 	public Optional<Resource.Pool> poolServing(String modelOrAdapter) {
 		String model = find(Resource.Adapter.class, modelOrAdapter).map(Resource.Adapter::model).orElse(modelOrAdapter);
@@ -107,15 +101,15 @@
 	}
 
 	/**
-	 * All resources with their versions, by key.
-	 * @return an unmodifiable table
+	 * Returns all resources with their versions, sorted by key.
+	 * @return an unmodifiable map
 	 */
 	public SortedMap<ResourceKey, Resource.Versioned> resources() {
 		return this.resources;
 	}
 
 	/**
-	 * The number of the last change.
+	 * Returns the revision of the last change.
 	 * @return 0 before the first change
 	 */
 	public long revision() {
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Declarations.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Declarations.java
@@ -11,29 +11,29 @@
 import java.util.regex.Pattern;
 
 /**
- * Validates a whole change against the configuration that it would change.
+ * Validates a change as a whole against the configuration to which it applies.
  *
  * <p>
- * Fields are checked on the resources of the change; references are checked on the
- * resulting configuration, so that a deletion cannot leave a reference to nothing.
+ * Fields are checked on the changed resources only. References are checked on the whole
+ * resulting configuration, so that a deletion cannot leave a dangling reference.
  *
  * <pre>
  * List&lt;String&gt; errors = Declarations.validate(configuration, List.of(pool), List.of());
- * // Pool/assistant spec.models[0]: model 'plaster' is not declared; declared are: none
+ * // Pool/assistant spec.models[0]: Model/plaster is not declared; declared are: none
  * </pre>
  */
 public final class Declarations {
 
-	/** The greatest number of backend servers that one pool may have. */
+	/** The maximum number of servers in a pool and of slots on a server. */
 	public static final int GREATEST_POOL = 10_000;
 
-	/** The greatest time of a latency target: one day, in milliseconds. */
+	/** The maximum latency of a latency target: one day, in milliseconds. */
 	public static final int GREATEST_MILLIS = 86_400_000;
 
-	/** The greatest size of a set of weights: ten terabytes, in megabytes. */
+	/** The maximum size of a set of weights: ten terabytes, in megabytes. */
 	public static final int GREATEST_WEIGHT_MEGABYTES = 10_000_000;
 
-	/** The greatest weight of an organisation or of a recovery decision. */
+	/** The maximum share of an organisation and weight in a recovery decision. */
 	public static final double GREATEST_FACTOR = 1_000_000;
 
 	private static final Pattern NAME = Pattern.compile("[a-z0-9-]{1,63}");
@@ -52,15 +52,13 @@
 		this.result = result;
 	}
 
-	// -- factories
-
 	/**
-	 * Checks a change.
+	 * Validates a change.
 	 * @param base the configuration before the change
 	 * @param changed the resources to create or replace
 	 * @param deleted the resources to delete
-	 * @return one sentence for each broken rule, that names the place and what is
-	 * allowed; empty when the change is valid
+	 * @return one message for each violated rule, with the path of the field and the
+	 * allowed values; empty if the change is valid
 	 */
 	public static List<String> validate(Configuration base, Collection<? extends Resource> changed,
 			Collection<ResourceKey> deleted) {
@@ -75,7 +73,7 @@
 		return List.copyOf(check.errors);
 	}
 
-	// -- fields
+	// -- field checks
 
 	private void checkFields(Resource resource) {
 		require(NAME.matcher(resource.name()).matches(), resource.key() + " name",
@@ -99,8 +97,8 @@
 	private void checkPool(Resource.Pool pool) {
 		ResourceKey key = pool.key();
 		boolean service = pool.serves() == Resource.Serves.SERVICE;
-		require(service == pool.models().isEmpty(), place(key, "models"),
-				service ? "a pool of plain services names no models" : "a pool of model engines names at least one");
+		require(service == pool.models().isEmpty(), place(key, "models"), service
+				? "a pool of plain services must list no models" : "a pool of model engines must list at least one");
 		requireSome(key, "zones", pool.zones());
 		requireSome(key, "machineClasses", pool.machineClasses());
 		requireEach(key, "zones", pool.zones(), NAME, "allowed are 1 to 63 lower case letters, digits and hyphens");
@@ -112,7 +110,7 @@
 		requireFactor(key, "recomputedTokenWeight", pool.recomputedTokenWeight());
 		requireFactor(key, "latenessWeight", pool.latenessWeight());
 		require(service || pool.idempotentPaths().isEmpty(), place(key, "idempotentPaths"),
-				"only a pool of plain services has them");
+				"only a pool of plain services may have them");
 		requireEach(key, "idempotentPaths", pool.idempotentPaths(), PATH,
 				"allowed are 1 to 200 visible characters without a leading slash");
 	}
@@ -129,7 +127,7 @@
 		requireRange(key, "weightMegabytes", weightMegabytes, 1, GREATEST_WEIGHT_MEGABYTES);
 	}
 
-	// -- references
+	// -- reference and uniqueness checks
 
 	private void checkAmbiguities() {
 		Map<String, String> keyOwners = new HashMap<>();
@@ -149,7 +147,7 @@
 						"model '" + model + "' is served by pool")));
 		this.result.all(Resource.Adapter.class)
 			.forEach((adapter) -> require(this.result.find(Resource.Model.class, adapter.name()).isEmpty(),
-					adapter.key() + " name", "a model has this name, and callers name either"));
+					adapter.key() + " name", "a model has the same name; names of models and adapters must differ"));
 	}
 
 	private void checkReferences(Resource resource) {
@@ -182,8 +180,6 @@
 		}
 	}
 
-	// -- rules
-
 	private static String place(ResourceKey key, String field) {
 		return key + " spec." + field;
 	}
@@ -198,7 +194,7 @@
 		Set<String> seen = new HashSet<>();
 		for (int i = 0; i < values.size(); i++) {
 			require(seen.add(values.get(i)), place(key, field + "[" + i + "]"),
-					"'" + values.get(i) + "' stands twice; allowed is once");
+					"'" + values.get(i) + "' is listed twice; allowed is once");
 		}
 	}
 
@@ -216,14 +212,15 @@
 
 	private void requireFirst(Map<String, String> owners, String value, String owner, String place, String detail) {
 		String other = owners.putIfAbsent(value, owner);
-		require(other == null || other.equals(owner), place, detail + " '" + other + "' already; allowed is one");
+		require(other == null || other.equals(owner), place, detail + " '" + other + "' already; only one is allowed");
 	}
 
 	private void requireOneMention(Collection<? extends Resource> changed, Collection<ResourceKey> deleted) {
 		Set<ResourceKey> seen = new HashSet<>();
 		changed.forEach((resource) -> require(seen.add(resource.key()), resource.key().toString(),
-				"stands twice in the change; allowed is once"));
-		deleted.forEach((key) -> require(seen.add(key), key.toString(), "stands twice in the change; allowed is once"));
+				"is listed twice in the change; allowed is once"));
+		deleted
+			.forEach((key) -> require(seen.add(key), key.toString(), "is listed twice in the change; allowed is once"));
 	}
 
 	private void requireRange(ResourceKey key, String field, int value, int least, int greatest) {
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Kind.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Kind.java
@@ -8,19 +8,19 @@
  */
 public enum Kind {
 
-	/** A group of backend servers that serve the same thing. */
+	/** A group of backend servers that serve the same models or the same service. */
 	POOL("Pool"),
 
 	/** A language model with its version. */
 	MODEL("Model"),
 
-	/** A fine-tuned addition to a model. */
+	/** A fine-tuned adapter for a model. */
 	ADAPTER("Adapter"),
 
-	/** A customer with its keys and share. */
+	/** A customer with its bearer keys and its share of the capacity. */
 	ORGANISATION("Organisation"),
 
-	/** The latency that answers of one sort must keep. */
+	/** The latency limits for one class of requests. */
 	LATENCY_TARGET("LatencyTarget");
 
 	private final String label;
@@ -30,7 +30,7 @@
 	}
 
 	/**
-	 * The name of the kind in declarations.
+	 * Returns the name of the kind in declarations.
 	 * @return the name, such as {@code LatencyTarget}
 	 */
 	public String label() {
@@ -38,9 +38,9 @@
 	}
 
 	/**
-	 * Finds the kind with a name.
+	 * Finds a kind by its name in declarations.
 	 * @param label the name in a declaration
-	 * @return the kind, empty when no kind has the name
+	 * @return the kind, or empty if no kind has this name
 	 */
 	public static Optional<Kind> ofLabel(String label) {
 		return Arrays.stream(values()).filter((kind) -> kind.label.equals(label)).findFirst();
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Problem.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Problem.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 
 /**
- * An error as a caller reads it: what went wrong, whether the request may have run and
- * when coming back can help.
+ * An error returned to a caller: what went wrong, whether the request may have run and
+ * when a retry can succeed.
  *
  * @param code the reason
  * @param verdict whether the request may have run
  * @param detail one sentence for a person
- * @param retryAfter the time after which a repeat can succeed, empty when it cannot
+ * @param retryAfter the delay after which a retry can succeed, empty if it cannot
  */
 public record Problem(ProblemCode code, Verdict verdict, String detail, Optional<Duration> retryAfter) {
 
@@ -22,10 +22,8 @@
 		Objects.requireNonNull(retryAfter, "retryAfter is null");
 	}
 
-	// -- factories
-
 	/**
-	 * A problem of a request that did not run and that a repeat does not mend.
+	 * Creates a problem for a request that did not run and that a retry does not help.
 	 * @param code the reason
 	 * @param detail one sentence for a person
 	 * @return the problem
@@ -35,10 +33,10 @@
 	}
 
 	/**
-	 * A problem of a request that did not run and may be repeated later.
+	 * Creates a problem for a request that did not run and may be retried later.
 	 * @param code the reason
 	 * @param detail one sentence for a person
-	 * @param retryAfter the time after which a repeat can succeed
+	 * @param retryAfter the delay after which a retry can succeed
 	 * @return the problem
 	 */
 	public static Problem notRun(ProblemCode code, String detail, Duration retryAfter) {
@@ -46,7 +44,7 @@
 	}
 
 	/**
-	 * A problem of a request with the given verdict.
+	 * Creates a problem for a request with the given verdict.
 	 * @param code the reason
 	 * @param verdict whether the request may have run
 	 * @param detail one sentence for a person
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/RequestId.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/RequestId.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * The identifier of a request of a caller.
+ * Identifies a caller's request.
  *
  * @param value the text form
  */
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Resource.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Resource.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * Something that operators declare.
+ * A resource that operators declare.
  *
  * <pre>
  * {"kind": "Model", "name": "plaster", "spec": {"version": "1", "weightMegabytes": 800}}
@@ -14,13 +14,13 @@
 public sealed interface Resource {
 
 	/**
-	 * The name, unique within the kind.
-	 * @return the name
+	 * Returns the name of this resource.
+	 * @return the name, unique within the kind
 	 */
 	String name();
 
 	/**
-	 * The identity of this resource.
+	 * Returns the key of this resource.
 	 * @return the kind and the name
 	 */
 	default ResourceKey key() {
@@ -34,24 +34,24 @@
 		return new ResourceKey(kind, name());
 	}
 
-	// -- variants
-
 	/**
-	 * A group of backend servers that serve the same thing.
+	 * A group of backend servers that serve the same models or the same service.
 	 *
 	 * @param name the name
-	 * @param serves what its backend servers are
-	 * @param models names of the models it serves; empty for plain services
-	 * @param zones the availability zones it may use, in no order
+	 * @param serves whether its backend servers are model engines or plain services
+	 * @param models the names of the models it serves; empty for plain services
+	 * @param zones the availability zones it may use, in no particular order
 	 * @param machineClasses the machine classes it may use
-	 * @param minimum the least number of backend servers in service
-	 * @param maximum the greatest number of backend servers
-	 * @param fencing whether its backend servers refuse orders with an old fencing number
-	 * @param slotsPerServer streams or calls that one backend server runs at a time
-	 * @param recomputedTokenWeight what a recomputed token costs in a recovery decision
-	 * @param latenessWeight what a second of lateness costs in a recovery decision
-	 * @param idempotentPaths for plain services: path prefixes whose POST calls may be
-	 * repeated
+	 * @param minimum the minimum number of backend servers in service
+	 * @param maximum the maximum number of backend servers
+	 * @param fencing whether its backend servers reject orders with an outdated fencing
+	 * number
+	 * @param slotsPerServer the number of streams or calls that one backend server runs
+	 * concurrently
+	 * @param recomputedTokenWeight the cost of a recomputed token in a recovery decision
+	 * @param latenessWeight the cost of a second of lateness in a recovery decision
+	 * @param idempotentPaths for plain services: the path prefixes whose POST calls may
+	 * be retried
 	 */
 	record Pool(String name, Serves serves, List<String> models, List<String> zones, List<String> machineClasses,
 			int minimum, int maximum, Fencing fencing, int slotsPerServer, double recomputedTokenWeight,
@@ -86,10 +86,10 @@
 	}
 
 	/**
-	 * A fine-tuned addition to a model; callers name it in place of the model.
+	 * A fine-tuned adapter for a model; callers request it by name in place of the model.
 	 *
 	 * @param name the name callers use
-	 * @param model the name of the model it is for
+	 * @param model the name of the model that it adapts
 	 * @param version the version of its weights
 	 * @param weightMegabytes the size of its weights, in megabytes
 	 */
@@ -107,9 +107,9 @@
 	 * A customer.
 	 *
 	 * @param name the name
-	 * @param keyHashes SHA-256 of each bearer key, in lower case hexadecimal
+	 * @param keyHashes the SHA-256 of each bearer key, in lower case hexadecimal
 	 * @param share its weight when organisations compete for the same backend servers
-	 * @param pools names of the pools it may use
+	 * @param pools the names of the pools it may use
 	 */
 	record Organisation(String name, List<String> keyHashes, double share, List<String> pools) implements Resource {
 
@@ -122,16 +122,16 @@
 	}
 
 	/**
-	 * The latency that answers of one sort must keep; callers choose it by the field
+	 * The latency limits for one class of requests; callers select it with the field
 	 * {@code service_tier}.
 	 *
 	 * @param name the name
-	 * @param pool the name of the pool it holds for
-	 * @param priority which requests go first
+	 * @param pool the name of the pool it applies to
+	 * @param priority the scheduling priority of the requests
 	 * @param firstTokenMillis the time to the first token, in milliseconds
 	 * @param betweenTokensMillis the time between tokens, in milliseconds
-	 * @param answerMillis the time to the whole answer, in milliseconds
-	 * @param standard whether it holds for requests that name no target
+	 * @param answerMillis the time to the complete response, in milliseconds
+	 * @param standard whether it applies to requests that select no target
 	 */
 	record LatencyTarget(String name, String pool, Priority priority, int firstTokenMillis, int betweenTokensMillis,
 			int answerMillis, boolean standard) implements Resource {
@@ -144,7 +144,7 @@
 
 	}
 
-	/** What the backend servers of a pool are. */
+	/** The type of the backend servers of a pool. */
 	enum Serves {
 
 		/** Model engines. */
@@ -158,27 +158,27 @@
 	/** Whether backend servers check the fencing number of an order. */
 	enum Fencing {
 
-		/** They refuse an order that carries an old number. */
+		/** They reject an order with an outdated fencing number. */
 		CHECKED,
 
-		/** They take any order. */
+		/** They accept any order. */
 		IGNORED
 
 	}
 
-	/** Which requests go first. */
+	/** The scheduling priority of requests. */
 	enum Priority {
 
-		/** A person waits for each token. */
+		/** Interactive: a person waits for each token. */
 		CHAT,
 
-		/** The answer may take its time. */
+		/** Not interactive: the response may be delayed. */
 		SUMMARY
 
 	}
 
 	/**
-	 * A resource together with the version of its last change.
+	 * A resource with the version of its last change.
 	 *
 	 * @param resource the resource
 	 * @param version the configuration revision that last changed it
@@ -190,10 +190,10 @@
 		}
 
 		/**
-		 * The resource when it is of the given type.
+		 * Returns the resource if it is of the given type.
 		 * @param <T> the type
 		 * @param type the class of the type
-		 * @return the resource, empty when it is of another type
+		 * @return the resource, or empty if it is of another type
 		 */
 		public <T extends Resource> Optional<T> as(Class<T> type) {
 			return type.isInstance(this.resource) ? Optional.of(type.cast(this.resource)) : Optional.empty();
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/ResourceCodec.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/ResourceCodec.java
@@ -45,7 +45,7 @@
 	 * @param declaration an object with {@code kind}, {@code name} and {@code spec}
 	 * @return the resource
 	 * @throws RosemaryException with {@link ProblemCode#INVALID_DECLARATION} when the
-	 * declaration has unknown or missing fields or values of a wrong type
+	 * declaration has unknown or missing fields or values of the wrong type
 	 */
 	public static Resource read(JsonNode declaration) {
 		Objects.requireNonNull(declaration, "declaration is null");
@@ -87,7 +87,7 @@
 
 	private static void requireEnvelope(JsonNode declaration) {
 		if (!declaration.isObject()) {
-			throw invalid("a declaration is a JSON object");
+			throw invalid("a declaration must be a JSON object");
 		}
 		for (Iterator<Map.Entry<String, JsonNode>> it = declaration.properties().iterator(); it.hasNext();) {
 			String field = it.next().getKey();
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/ResourceKey.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/ResourceKey.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * The identity of a resource.
+ * Identifies a resource by kind and name.
  *
  * @param kind the kind
  * @param name the name, unique within the kind
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/RosemaryException.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/RosemaryException.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * The unchecked exception of this project; it carries the problem that its caller reads.
+ * Thrown when a request fails, with the {@link Problem} that is returned to the caller.
  */
 public final class RosemaryException extends RuntimeException {
 
@@ -16,10 +16,8 @@
 		this.problem = problem;
 	}
 
-	// -- factories
-
 	/**
-	 * Wraps a problem.
+	 * Creates an exception for a problem.
 	 * @param problem what went wrong
 	 * @return the exception
 	 */
@@ -28,19 +26,17 @@
 	}
 
 	/**
-	 * Wraps a problem with the failure behind it.
+	 * Creates an exception for a problem with its cause.
 	 * @param problem what went wrong
-	 * @param cause the failure behind it
+	 * @param cause the underlying failure
 	 * @return the exception
 	 */
 	public static RosemaryException of(Problem problem, Throwable cause) {
 		return new RosemaryException(Objects.requireNonNull(problem, "problem is null"), cause);
 	}
 
-	// -- queries
-
 	/**
-	 * What went wrong.
+	 * Returns the problem that is returned to the caller.
 	 * @return the problem
 	 */
 	public Problem problem() {
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Verdict.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Verdict.java
@@ -4,9 +4,9 @@
  * Says whether a request may have run on a backend server.
  *
  * <p>
- * The verdict is decided from facts only: {@link NotRun} needs proof that no byte of the
- * call reached a backend server, or that the backend server itself said it refused the
- * call before running it. Everything sent without an answer is {@link MayHaveRun}.
+ * {@link NotRun} requires evidence: either no byte of the call reached a backend server,
+ * or the backend server reported that it rejected the call before running it. A request
+ * that was sent and got no response is {@link MayHaveRun}.
  *
  * <pre>
  * Verdict verdict = Verdict.notRun().then(Verdict.mayHaveRun()); // MayHaveRun
@@ -14,36 +14,32 @@
  */
 public sealed interface Verdict {
 
-	// -- factories
-
 	/**
-	 * The request certainly did not run.
-	 * @return the verdict of a request that may be sent again
+	 * Returns the verdict for a request that did not run.
+	 * @return the verdict for a request that may be sent again
 	 */
 	static Verdict notRun() {
 		return new NotRun();
 	}
 
 	/**
-	 * The request was sent and its outcome is unknown.
-	 * @return the verdict of a request that only an idempotent call may send again
+	 * Returns the verdict for a request that was sent and whose outcome is unknown.
+	 * @return the verdict for a request that may be sent again only if it is idempotent
 	 */
 	static Verdict mayHaveRun() {
 		return new MayHaveRun();
 	}
 
 	/**
-	 * The request certainly ran.
-	 * @return the verdict of a request that a backend server answered
+	 * Returns the verdict for a request that ran.
+	 * @return the verdict for a request that a backend server responded to
 	 */
 	static Verdict ran() {
 		return new Ran();
 	}
 
-	// -- queries
-
 	/**
-	 * The word that callers read in an error document.
+	 * Returns the code of this verdict in an error document.
 	 * @return {@code not-run}, {@code may-have-run} or {@code ran}
 	 */
 	default String code() {
@@ -57,7 +53,7 @@
 	/**
 	 * Combines the verdicts of two attempts of the same request.
 	 * @param other the verdict of the later attempt
-	 * @return the stronger claim that the request ran
+	 * @return the verdict of the two that is closer to {@link Ran}
 	 */
 	default Verdict then(Verdict other) {
 		return (rank(this) >= rank(other)) ? this : other;
@@ -71,17 +67,15 @@
 		};
 	}
 
-	// -- variants
-
-	/** No byte reached a backend server, or the backend server refused before running. */
+	/** No byte reached the server, or the server rejected the call before running it. */
 	record NotRun() implements Verdict {
 	}
 
-	/** Something was sent and no answer came. */
+	/** At least part of the request was sent and no response was received. */
 	record MayHaveRun() implements Verdict {
 	}
 
-	/** A backend server answered. */
+	/** A backend server responded. */
 	record Ran() implements Verdict {
 	}
 
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/VmId.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/VmId.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * The identifier of a VM.
+ * Identifies a VM.
  *
  * @param value the text form
  */
--- a/rosemaryfront-model/src/test/java/org/rosemaryfront/model/DeclarationsTests.java
+++ b/rosemaryfront-model/src/test/java/org/rosemaryfront/model/DeclarationsTests.java
@@ -15,7 +15,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 /**
- * The rules of declarations.
+ * Tests for {@link Declarations} and {@link ResourceCodec}.
  */
 class DeclarationsTests {
 
@@ -48,7 +48,7 @@
 			textBlock = """
 					Pool/assistant      | zones                 | ["waw-a","WAW"]   | Pool/assistant spec.zones[1]: allowed are 1 to 63 lower case
 					Pool/assistant      | zones                 | []                | Pool/assistant spec.zones: allowed is a list of at least one
-					Pool/assistant      | zones                 | ["waw-a","waw-a"] | Pool/assistant spec.zones[1]: 'waw-a' stands twice
+					Pool/assistant      | zones                 | ["waw-a","waw-a"] | Pool/assistant spec.zones[1]: 'waw-a' is listed twice
 					Pool/assistant      | machineClasses        | [""]              | Pool/assistant spec.machineClasses[0]: allowed are
 					Pool/assistant      | models                | []                | Pool/assistant spec.models: a pool of model engines
 					Pool/assistant      | models                | ["clay"]          | spec.models[0]: Model/clay is not declared; declared are: plaster
@@ -91,7 +91,7 @@
 	void shouldRefuseWhenAResourceStandsTwice() {
 		Resource model = new Resource.Model("m", "1", 1);
 		assertThat(Declarations.validate(Configuration.empty(), List.of(model, model), List.of()))
-			.containsExactly("Model/m: stands twice in the change; allowed is once");
+			.containsExactly("Model/m: is listed twice in the change; allowed is once");
 	}
 
 	@ParameterizedTest
