--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Configuration.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Configuration.java
@@ -55,18 +55,19 @@
 
 	/**
 	 * Returns this configuration with a change applied.
-	 * @param next the revision of the change
+	 * @param newRevision the revision of the change
 	 * @param changed the resources created or replaced
 	 * @param deleted the resources removed
 	 * @return the changed configuration
 	 */
-	public Configuration with(long next, Collection<? extends Resource> changed, Collection<ResourceKey> deleted) {
+	public Configuration with(long newRevision, Collection<? extends Resource> changed,
+			Collection<ResourceKey> deleted) {
 		Objects.requireNonNull(changed, "changed is null");
 		Objects.requireNonNull(deleted, "deleted is null");
 		SortedMap<ResourceKey, Resource.Versioned> table = new TreeMap<>(this.resources);
 		deleted.forEach(table::remove);
-		changed.forEach((resource) -> table.put(resource.key(), new Resource.Versioned(resource, next)));
-		return new Configuration(next, Collections.unmodifiableSortedMap(table));
+		changed.forEach((resource) -> table.put(resource.key(), new Resource.Versioned(resource, newRevision)));
+		return new Configuration(newRevision, Collections.unmodifiableSortedMap(table));
 	}
 
 	/**
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Declarations.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Declarations.java
@@ -25,16 +25,16 @@
 public final class Declarations {
 
 	/** The maximum number of servers in a pool and of slots on a server. */
-	public static final int GREATEST_POOL = 10_000;
+	public static final int MAX_POOL_SIZE = 10_000;
 
 	/** The maximum latency of a latency target: one day, in milliseconds. */
-	public static final int GREATEST_MILLIS = 86_400_000;
+	public static final int MAX_LATENCY_MILLIS = 86_400_000;
 
 	/** The maximum size of a set of weights: ten terabytes, in megabytes. */
-	public static final int GREATEST_WEIGHT_MEGABYTES = 10_000_000;
+	public static final int MAX_WEIGHT_MEGABYTES = 10_000_000;
 
 	/** The maximum share of an organisation and weight in a recovery decision. */
-	public static final double GREATEST_FACTOR = 1_000_000;
+	public static final double MAX_FACTOR = 1_000_000;
 
 	private static final Pattern NAME = Pattern.compile("[a-z0-9-]{1,63}");
 
@@ -66,10 +66,10 @@
 		Objects.requireNonNull(changed, "changed is null");
 		Objects.requireNonNull(deleted, "deleted is null");
 		Declarations check = new Declarations(base.with(base.revision() + 1, changed, deleted));
-		check.requireOneMention(changed, deleted);
+		check.requireUniqueKeys(changed, deleted);
 		changed.forEach(check::checkFields);
 		check.result.resources().values().forEach((versioned) -> check.checkReferences(versioned.resource()));
-		check.checkAmbiguities();
+		check.checkUniqueness();
 		return List.copyOf(check.errors);
 	}
 
@@ -89,7 +89,7 @@
 
 	private void checkOrganisation(Resource.Organisation organisation) {
 		requireFactor(organisation.key(), "share", organisation.share());
-		require(organisation.share() > 0, place(organisation.key(), "share"), "allowed is a number above 0");
+		require(organisation.share() > 0, fieldPath(organisation.key(), "share"), "allowed is a number above 0");
 		requireEach(organisation.key(), "keyHashes", organisation.keyHashes(), KEY_HASH,
 				"allowed is a SHA-256 as 64 lower case hexadecimal digits");
 	}
@@ -97,54 +97,56 @@
 	private void checkPool(Resource.Pool pool) {
 		ResourceKey key = pool.key();
 		boolean service = pool.serves() == Resource.Serves.SERVICE;
-		require(service == pool.models().isEmpty(), place(key, "models"), service
+		require(service == pool.models().isEmpty(), fieldPath(key, "models"), service
 				? "a pool of plain services must list no models" : "a pool of model engines must list at least one");
-		requireSome(key, "zones", pool.zones());
-		requireSome(key, "machineClasses", pool.machineClasses());
+		requireNotEmpty(key, "zones", pool.zones());
+		requireNotEmpty(key, "machineClasses", pool.machineClasses());
 		requireEach(key, "zones", pool.zones(), NAME, "allowed are 1 to 63 lower case letters, digits and hyphens");
 		requireEach(key, "machineClasses", pool.machineClasses(), VERSION,
 				"allowed are 1 to 63 letters, digits, dots, hyphens and underscores");
-		requireRange(key, "maximum", pool.maximum(), 1, GREATEST_POOL);
+		requireRange(key, "maximum", pool.maximum(), 1, MAX_POOL_SIZE);
 		requireRange(key, "minimum", pool.minimum(), 0, Math.max(0, pool.maximum()));
-		requireRange(key, "slotsPerServer", pool.slotsPerServer(), 1, GREATEST_POOL);
+		requireRange(key, "slotsPerServer", pool.slotsPerServer(), 1, MAX_POOL_SIZE);
 		requireFactor(key, "recomputedTokenWeight", pool.recomputedTokenWeight());
 		requireFactor(key, "latenessWeight", pool.latenessWeight());
-		require(service || pool.idempotentPaths().isEmpty(), place(key, "idempotentPaths"),
+		require(service || pool.idempotentPaths().isEmpty(), fieldPath(key, "idempotentPaths"),
 				"only a pool of plain services may have them");
 		requireEach(key, "idempotentPaths", pool.idempotentPaths(), PATH,
 				"allowed are 1 to 200 visible characters without a leading slash");
 	}
 
 	private void checkTarget(Resource.LatencyTarget target) {
-		requireRange(target.key(), "firstTokenMillis", target.firstTokenMillis(), 1, GREATEST_MILLIS);
-		requireRange(target.key(), "betweenTokensMillis", target.betweenTokensMillis(), 1, GREATEST_MILLIS);
-		requireRange(target.key(), "answerMillis", target.answerMillis(), 1, GREATEST_MILLIS);
+		requireRange(target.key(), "firstTokenMillis", target.firstTokenMillis(), 1, MAX_LATENCY_MILLIS);
+		requireRange(target.key(), "betweenTokensMillis", target.betweenTokensMillis(), 1, MAX_LATENCY_MILLIS);
+		requireRange(target.key(), "answerMillis", target.answerMillis(), 1, MAX_LATENCY_MILLIS);
 	}
 
 	private void checkWeights(ResourceKey key, String version, int weightMegabytes) {
-		require(VERSION.matcher(version).matches(), place(key, "version"),
+		require(VERSION.matcher(version).matches(), fieldPath(key, "version"),
 				"allowed are 1 to 63 letters, digits, dots, hyphens and underscores");
-		requireRange(key, "weightMegabytes", weightMegabytes, 1, GREATEST_WEIGHT_MEGABYTES);
+		requireRange(key, "weightMegabytes", weightMegabytes, 1, MAX_WEIGHT_MEGABYTES);
 	}
 
 	// -- reference and uniqueness checks
 
-	private void checkAmbiguities() {
+	private void checkUniqueness() {
 		Map<String, String> keyOwners = new HashMap<>();
-		Map<String, String> standards = new HashMap<>();
-		Map<String, String> servers = new HashMap<>();
+		Map<String, String> standardTargets = new HashMap<>();
+		Map<String, String> poolsByModel = new HashMap<>();
 		this.result.all(Resource.Organisation.class)
 			.forEach((organisation) -> organisation.keyHashes()
-				.forEach((hash) -> requireFirst(keyOwners, hash, organisation.name(),
-						place(organisation.key(), "keyHashes"), "a key of this organisation belongs to organisation")));
+				.forEach((hash) -> requireSingleOwner(keyOwners, hash, organisation.name(),
+						fieldPath(organisation.key(), "keyHashes"),
+						"a key of this organisation belongs to organisation")));
 		this.result.all(Resource.LatencyTarget.class)
 			.filter(Resource.LatencyTarget::standard)
-			.forEach((target) -> requireFirst(standards, target.pool(), target.name(), place(target.key(), "standard"),
+			.forEach((target) -> requireSingleOwner(standardTargets, target.pool(), target.name(),
+					fieldPath(target.key(), "standard"),
 					"pool '" + target.pool() + "' has the standard latency target"));
 		this.result.all(Resource.Pool.class)
 			.forEach((pool) -> pool.models()
-				.forEach((model) -> requireFirst(servers, model, pool.name(), place(pool.key(), "models"),
-						"model '" + model + "' is served by pool")));
+				.forEach((model) -> requireSingleOwner(poolsByModel, model, pool.name(),
+						fieldPath(pool.key(), "models"), "model '" + model + "' is served by pool")));
 		this.result.all(Resource.Adapter.class)
 			.forEach((adapter) -> require(this.result.find(Resource.Model.class, adapter.name()).isEmpty(),
 					adapter.key() + " name", "a model has the same name; names of models and adapters must differ"));
@@ -175,47 +177,48 @@
 	private <T extends Resource> void requireDeclared(ResourceKey key, String field, String name, Class<T> type) {
 		if (this.result.find(type, name).isEmpty()) {
 			List<String> declared = this.result.all(type).map(Resource::name).toList();
-			this.errors.add(place(key, field) + ": " + type.getSimpleName() + "/" + name
+			this.errors.add(fieldPath(key, field) + ": " + type.getSimpleName() + "/" + name
 					+ " is not declared; declared are: " + (declared.isEmpty() ? "none" : String.join(", ", declared)));
 		}
 	}
 
-	private static String place(ResourceKey key, String field) {
+	private static String fieldPath(ResourceKey key, String field) {
 		return key + " spec." + field;
 	}
 
-	private void require(boolean holds, String place, String allowed) {
-		if (!holds) {
-			this.errors.add(place + ": " + allowed);
+	private void require(boolean condition, String path, String constraint) {
+		if (!condition) {
+			this.errors.add(path + ": " + constraint);
 		}
 	}
 
 	private void requireDistinct(ResourceKey key, String field, List<String> values) {
 		Set<String> seen = new HashSet<>();
 		for (int i = 0; i < values.size(); i++) {
-			require(seen.add(values.get(i)), place(key, field + "[" + i + "]"),
+			require(seen.add(values.get(i)), fieldPath(key, field + "[" + i + "]"),
 					"'" + values.get(i) + "' is listed twice; allowed is once");
 		}
 	}
 
-	private void requireEach(ResourceKey key, String field, List<String> values, Pattern pattern, String allowed) {
+	private void requireEach(ResourceKey key, String field, List<String> values, Pattern pattern, String constraint) {
 		for (int i = 0; i < values.size(); i++) {
-			require(pattern.matcher(values.get(i)).matches(), place(key, field + "[" + i + "]"), allowed);
+			require(pattern.matcher(values.get(i)).matches(), fieldPath(key, field + "[" + i + "]"), constraint);
 		}
 		requireDistinct(key, field, values);
 	}
 
 	private void requireFactor(ResourceKey key, String field, double value) {
-		require(Double.isFinite(value) && value >= 0 && value <= GREATEST_FACTOR, place(key, field),
-				value + " is out of range; allowed is 0 to " + (long) GREATEST_FACTOR);
+		require(Double.isFinite(value) && value >= 0 && value <= MAX_FACTOR, fieldPath(key, field),
+				value + " is out of range; allowed is 0 to " + (long) MAX_FACTOR);
 	}
 
-	private void requireFirst(Map<String, String> owners, String value, String owner, String place, String detail) {
+	private void requireSingleOwner(Map<String, String> owners, String value, String owner, String path,
+			String detail) {
 		String other = owners.putIfAbsent(value, owner);
-		require(other == null || other.equals(owner), place, detail + " '" + other + "' already; only one is allowed");
+		require(other == null || other.equals(owner), path, detail + " '" + other + "' already; only one is allowed");
 	}
 
-	private void requireOneMention(Collection<? extends Resource> changed, Collection<ResourceKey> deleted) {
+	private void requireUniqueKeys(Collection<? extends Resource> changed, Collection<ResourceKey> deleted) {
 		Set<ResourceKey> seen = new HashSet<>();
 		changed.forEach((resource) -> require(seen.add(resource.key()), resource.key().toString(),
 				"is listed twice in the change; allowed is once"));
@@ -223,13 +226,13 @@
 			.forEach((key) -> require(seen.add(key), key.toString(), "is listed twice in the change; allowed is once"));
 	}
 
-	private void requireRange(ResourceKey key, String field, int value, int least, int greatest) {
-		require(value >= least && value <= greatest, place(key, field),
-				value + " is out of range; allowed is " + least + " to " + greatest);
+	private void requireRange(ResourceKey key, String field, int value, int min, int max) {
+		require(value >= min && value <= max, fieldPath(key, field),
+				value + " is out of range; allowed is " + min + " to " + max);
 	}
 
-	private void requireSome(ResourceKey key, String field, List<String> values) {
-		require(!values.isEmpty(), place(key, field), "allowed is a list of at least one name");
+	private void requireNotEmpty(ResourceKey key, String field, List<String> values) {
+		require(!values.isEmpty(), fieldPath(key, field), "allowed is a list of at least one name");
 	}
 
 }
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/ResourceCodec.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/ResourceCodec.java
@@ -62,7 +62,7 @@
 			return MAPPER.treeToValue(spec, typeOf(kind));
 		}
 		catch (JsonMappingException ex) {
-			throw invalid(label + "/" + name + " " + place(ex) + ": " + firstLine(ex.getOriginalMessage()));
+			throw invalid(label + "/" + name + " " + fieldPath(ex) + ": " + firstLine(ex.getOriginalMessage()));
 		}
 		catch (JsonProcessingException | IllegalArgumentException ex) {
 			throw invalid(label + "/" + name + ": " + firstLine(ex.getMessage()));
@@ -119,17 +119,17 @@
 		};
 	}
 
-	private static String place(JsonMappingException failure) {
-		StringBuilder place = new StringBuilder("spec");
-		for (JsonMappingException.Reference step : failure.getPath()) {
-			if (step.getFieldName() != null) {
-				place.append('.').append(step.getFieldName());
+	private static String fieldPath(JsonMappingException failure) {
+		StringBuilder path = new StringBuilder("spec");
+		for (JsonMappingException.Reference reference : failure.getPath()) {
+			if (reference.getFieldName() != null) {
+				path.append('.').append(reference.getFieldName());
 			}
 			else {
-				place.append('[').append(step.getIndex()).append(']');
+				path.append('[').append(reference.getIndex()).append(']');
 			}
 		}
-		return place.toString();
+		return path.toString();
 	}
 
 	private static RosemaryException invalid(String detail) {
--- a/rosemaryfront-model/src/test/java/org/rosemaryfront/model/DeclarationsTests.java
+++ b/rosemaryfront-model/src/test/java/org/rosemaryfront/model/DeclarationsTests.java
@@ -39,7 +39,7 @@
 			""".replace("HASH", HASH);
 
 	@Test
-	void shouldAcceptWhenEveryRuleHolds() {
+	void shouldAcceptWhenDeclarationsAreValid() {
 		assertThat(Declarations.validate(Configuration.empty(), read("", "", ""), List.of())).isEmpty();
 	}
 
@@ -72,7 +72,7 @@
 					Organisation/builder | pools                | ["clay"]          | Organisation/builder spec.pools[0]: Pool/clay is not declared
 					Organisation/homeowners | keyHashes         | ["HASH"]          | a key of this organisation belongs to organisation 'builder'
 					""")
-	void shouldNameThePlaceWhenARuleIsBroken(String resource, String field, String value, String error) {
+	void shouldReportFieldPathWhenRuleIsViolated(String resource, String field, String value, String error) {
 		List<Resource> changed = read(resource, field, value.replace("HASH", HASH));
 		assertThat(Declarations.validate(Configuration.empty(), changed, List.of()))
 			.anySatisfy((found) -> assertThat(found).contains(error));
@@ -81,14 +81,14 @@
 	@ParameterizedTest
 	@CsvSource({ "MODEL, plaster, Model/plaster is not declared", "POOL, assistant, Pool/assistant is not declared",
 			"POOL, booking, Organisation/homeowners spec.pools[0]" })
-	void shouldRefuseWhenAReferencedResourceIsDeleted(Kind kind, String name, String error) {
+	void shouldRejectWhenReferencedResourceIsDeleted(Kind kind, String name, String error) {
 		Configuration base = Configuration.empty().with(1, read("", "", ""), List.of());
 		assertThat(Declarations.validate(base, List.of(), List.of(new ResourceKey(kind, name))))
 			.anySatisfy((found) -> assertThat(found).contains(error));
 	}
 
 	@Test
-	void shouldRefuseWhenAResourceStandsTwice() {
+	void shouldRejectWhenResourceIsDeclaredTwice() {
 		Resource model = new Resource.Model("m", "1", 1);
 		assertThat(Declarations.validate(Configuration.empty(), List.of(model, model), List.of()))
 			.containsExactly("Model/m: is listed twice in the change; allowed is once");
@@ -105,14 +105,14 @@
 			{"kind":"Model","name":"m","spec":{},"colour":1}                         | unknown field 'colour'
 			[]                                                                       | a JSON object
 			""")
-	void shouldNameThePlaceWhenADeclarationCannotBeRead(String text, String error) throws JsonProcessingException {
+	void shouldReportFieldPathWhenDeclarationIsMalformed(String text, String error) throws JsonProcessingException {
 		JsonNode declaration = JsonMapper.builder().build().readTree(text);
 		assertThatThrownBy(() -> ResourceCodec.read(declaration)).isInstanceOf(RosemaryException.class)
 			.hasMessageContaining(error);
 	}
 
 	@Test
-	void shouldReadWhatItWrote() {
+	void shouldReadSameResourceWhenWritten() {
 		List<Resource> resources = read("", "", "");
 		assertThat(resources.stream().map(ResourceCodec::write).map(ResourceCodec::read)).isEqualTo(resources);
 	}
