--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Declarations.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Declarations.java
@@ -196,7 +196,7 @@
 		Set<String> seen = new HashSet<>();
 		for (int i = 0; i < values.size(); i++) {
 			require(seen.add(values.get(i)), fieldPath(key, field + "[" + i + "]"),
-					"'" + values.get(i) + "' is listed twice; allowed is once");
+					"'" + values.get(i) + "' is listed twice; only one entry is allowed");
 		}
 	}
 
@@ -221,9 +221,9 @@
 	private void requireUniqueKeys(Collection<? extends Resource> changed, Collection<ResourceKey> deleted) {
 		Set<ResourceKey> seen = new HashSet<>();
 		changed.forEach((resource) -> require(seen.add(resource.key()), resource.key().toString(),
-				"is listed twice in the change; allowed is once"));
-		deleted
-			.forEach((key) -> require(seen.add(key), key.toString(), "is listed twice in the change; allowed is once"));
+				"is listed twice in the change; only one entry is allowed"));
+		deleted.forEach((key) -> require(seen.add(key), key.toString(),
+				"is listed twice in the change; only one entry is allowed"));
 	}
 
 	private void requireRange(ResourceKey key, String field, int value, int min, int max) {
--- a/rosemaryfront-model/src/test/java/org/rosemaryfront/model/DeclarationsTests.java
+++ b/rosemaryfront-model/src/test/java/org/rosemaryfront/model/DeclarationsTests.java
@@ -91,7 +91,7 @@
 	void shouldRejectWhenResourceIsDeclaredTwice() {
 		Resource model = new Resource.Model("m", "1", 1);
 		assertThat(Declarations.validate(Configuration.empty(), List.of(model, model), List.of()))
-			.containsExactly("Model/m: is listed twice in the change; allowed is once");
+			.containsExactly("Model/m: is listed twice in the change; only one entry is allowed");
 	}
 
 	@ParameterizedTest
