--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Declarations.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Declarations.java
@@ -33,7 +33,7 @@
 	/** The maximum size of a set of weights: ten terabytes, in megabytes. */
 	public static final int MAX_WEIGHT_MEGABYTES = 10_000_000;
 
-	/** The maximum share of an organisation and weight in a recovery decision. */
+	/** The maximum of an organisation's share and of a weight in recovery decisions. */
 	public static final double MAX_FACTOR = 1_000_000;
 
 	private static final Pattern NAME = Pattern.compile("[a-z0-9-]{1,63}");
