--- a/rosemaryfront-model/src/test/java/org/rosemaryfront/model/DeclarationsTests.java
+++ b/rosemaryfront-model/src/test/java/org/rosemaryfront/model/DeclarationsTests.java
@@ -15,7 +15,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 /**
- * The rules of declarations.
+ * Tests for {@link Declarations} and {@link ResourceCodec}.
  */
 class DeclarationsTests {
 
@@ -39,7 +39,7 @@
 			""".replace("HASH", HASH);
 
 	@Test
-	void shouldAcceptWhenEveryRuleHolds() {
+	void shouldAcceptWhenDeclarationsAreValid() {
 		assertThat(Declarations.validate(Configuration.empty(), read("", "", ""), List.of())).isEmpty();
 	}
 
@@ -48,7 +48,7 @@
 			textBlock = """
 					Pool/assistant      | zones                 | ["waw-a","WAW"]   | Pool/assistant spec.zones[1]: allowed are 1 to 63 lower case
 					Pool/assistant      | zones                 | []                | Pool/assistant spec.zones: allowed is a list of at least one
-					Pool/assistant      | zones                 | ["waw-a","waw-a"] | Pool/assistant spec.zones[1]: 'waw-a' stands twice
+					Pool/assistant      | zones                 | ["waw-a","waw-a"] | Pool/assistant spec.zones[1]: 'waw-a' is listed twice
 					Pool/assistant      | machineClasses        | [""]              | Pool/assistant spec.machineClasses[0]: allowed are
 					Pool/assistant      | models                | []                | Pool/assistant spec.models: a pool of model engines
 					Pool/assistant      | models                | ["clay"]          | spec.models[0]: Model/clay is not declared; declared are: plaster
@@ -72,7 +72,7 @@
 					Organisation/builder | pools                | ["clay"]          | Organisation/builder spec.pools[0]: Pool/clay is not declared
 					Organisation/homeowners | keyHashes         | ["HASH"]          | a key of this organisation belongs to organisation 'builder'
 					""")
-	void shouldNameThePlaceWhenARuleIsBroken(String resource, String field, String value, String error) {
+	void shouldReportFieldPathWhenRuleIsViolated(String resource, String field, String value, String error) {
 		List<Resource> changed = read(resource, field, value.replace("HASH", HASH));
 		assertThat(Declarations.validate(Configuration.empty(), changed, List.of()))
 			.anySatisfy((found) -> assertThat(found).contains(error));
@@ -81,17 +81,17 @@
 	@ParameterizedTest
 	@CsvSource({ "MODEL, plaster, Model/plaster is not declared", "POOL, assistant, Pool/assistant is not declared",
 			"POOL, booking, Organisation/homeowners spec.pools[0]" })
-	void shouldRefuseWhenAReferencedResourceIsDeleted(Kind kind, String name, String error) {
+	void shouldRejectWhenReferencedResourceIsDeleted(Kind kind, String name, String error) {
 		Configuration base = Configuration.empty().with(1, read("", "", ""), List.of());
 		assertThat(Declarations.validate(base, List.of(), List.of(new ResourceKey(kind, name))))
 			.anySatisfy((found) -> assertThat(found).contains(error));
 	}
 
 	@Test
-	void shouldRefuseWhenAResourceStandsTwice() {
+	void shouldRejectWhenResourceIsDeclaredTwice() {
 		Resource model = new Resource.Model("m", "1", 1);
 		assertThat(Declarations.validate(Configuration.empty(), List.of(model, model), List.of()))
-			.containsExactly("Model/m: stands twice in the change; allowed is once");
+			.containsExactly("Model/m: is listed twice in the change; only one entry is allowed");
 	}
 
 	@ParameterizedTest
@@ -105,14 +105,14 @@
 			{"kind":"Model","name":"m","spec":{},"colour":1}                         | unknown field 'colour'
 			[]                                                                       | a JSON object
 			""")
-	void shouldNameThePlaceWhenADeclarationCannotBeRead(String text, String error) throws JsonProcessingException {
+	void shouldReportFieldPathWhenDeclarationIsMalformed(String text, String error) throws JsonProcessingException {
 		JsonNode declaration = JsonMapper.builder().build().readTree(text);
 		assertThatThrownBy(() -> ResourceCodec.read(declaration)).isInstanceOf(RosemaryException.class)
 			.hasMessageContaining(error);
 	}
 
 	@Test
-	void shouldReadWhatItWrote() {
+	void shouldReadSameResourceWhenWritten() {
 		List<Resource> resources = read("", "", "");
 		assertThat(resources.stream().map(ResourceCodec::write).map(ResourceCodec::read)).isEqualTo(resources);
 	}
