--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/CallStory.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/CallStory.java
@@ -7,11 +7,15 @@
 import java.util.OptionalDouble;
 
 /**
- * What the log says of one call: when it came, where it went and how it ended.
+ * The history of one call as recorded in the log: its arrival, its dispatches to servers
+ * and its ending.
  */
 final class CallStory {
 
-	/** The time of its first line, less the time that it was under way by then. */
+	/**
+	 * The arrival time in seconds: the earliest, over its log lines, of the line's time
+	 * minus the elapsed time that the line reports.
+	 */
 	private double cameSecond;
 
 	private String route = "none";
@@ -26,7 +30,7 @@
 
 	private String reason = "";
 
-	/** The time to the first part of its answer; absent when it did not come in parts. */
+	/** The time to the first chunk of the response; empty if it was not streamed. */
 	private OptionalDouble firstMillis = OptionalDouble.empty();
 
 	private CallStory(double cameSecond) {
@@ -36,9 +40,9 @@
 	// -- factories
 
 	/**
-	 * The calls of a log.
-	 * @param events the events in order of time
-	 * @return the calls by name, in order of their first lines
+	 * Collects the calls of a log.
+	 * @param events the events in chronological order
+	 * @return the calls by request name, in order of their first log lines
 	 */
 	static Map<String, CallStory> of(List<LogEvent> events) {
 		Map<String, CallStory> calls = new LinkedHashMap<>();
@@ -69,7 +73,7 @@
 			}
 			case "CALLER_LEFT" -> this.ending = Ending.LEFT;
 			default -> {
-				// It goes on; what comes of it is said by a later line.
+				// The call is still in progress; a later line records its ending.
 			}
 		}
 	}
@@ -106,7 +110,7 @@
 		return this.ending;
 	}
 
-	// Why it was refused or failed, empty otherwise.
+	// The reason for a refusal or failure, otherwise empty.
 	String reason() {
 		return this.reason;
 	}
@@ -116,9 +120,10 @@
 	}
 
 	/**
-	 * How long its first token took against what was expected.
-	 * @return the ratio, empty when it was not answered by the first server, or nothing
-	 * was expected
+	 * Returns the ratio of the time to first token, measured from the dispatch, to the
+	 * expected time.
+	 * @return the ratio, empty when the call was not dispatched exactly once, its
+	 * response was not streamed, or the log has no expected time
 	 */
 	OptionalDouble firstAgainstExpected() {
 		if (this.dispatches.size() != 1 || this.firstMillis.isEmpty()) {
@@ -131,25 +136,25 @@
 				: OptionalDouble.empty();
 	}
 
-	/** How a call ended. */
+	/** The ways in which a call can end. */
 	enum Ending {
 
 		/** Answered within its target. */
 		IN_TIME,
 
-		/** Answered later. */
+		/** Answered after its target. */
 		LATE,
 
-		/** Refused, or its time was over. */
+		/** Refused, or its deadline passed. */
 		REFUSED,
 
-		/** Failed by its server, and by whoever had it then. */
+		/** Failed on its server and on any server that it was sent to afterwards. */
 		FAILED,
 
-		/** The caller left before its end. */
+		/** The caller disconnected before the call ended. */
 		LEFT,
 
-		/** The log does not say: the gateway ended, or the log was cut. */
+		/** No ending in the log: the gateway terminated, or the log was truncated. */
 		OPEN
 
 	}
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/CallTally.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/CallTally.java
@@ -9,7 +9,7 @@
 import org.rosemaryfront.report.CallStory.Ending;
 
 /**
- * How calls ended, counted.
+ * Counts of calls by ending and by reason.
  */
 final class CallTally {
 
@@ -19,11 +19,11 @@
 	private final Map<String, Integer> reasons = new TreeMap<>();
 
 	/**
-	 * Counts calls by a property of theirs.
+	 * Counts calls grouped by a property.
 	 * @param <K> the type of the property
 	 * @param calls the calls
-	 * @param key the property
-	 * @return a tally for each value, in its order
+	 * @param key the function that returns the property of a call
+	 * @return a tally for each value of the property, in the order of the values
 	 */
 	static <K extends Comparable<K>> Map<K, CallTally> by(Collection<CallStory> calls, Function<CallStory, K> key) {
 		Map<K, CallTally> tallies = new TreeMap<>();
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Deciles.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Deciles.java
@@ -9,7 +9,7 @@
 /**
  * The nine deciles of a sample.
  *
- * @param values the deciles in order, none for an empty sample
+ * @param values the deciles in ascending order, none for an empty sample
  * @param count the size of the sample
  */
 record Deciles(List<Double> values, int count) {
@@ -17,7 +17,7 @@
 	private static final int PARTS = 10;
 
 	/**
-	 * The deciles of a sample.
+	 * Computes the deciles of a sample.
 	 * @param sample the values, in any order
 	 * @return the deciles
 	 */
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/HtmlPage.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/HtmlPage.java
@@ -12,7 +12,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** A report as one page that needs nothing beside itself. */
+/** Renders a report as a self-contained HTML page. */
 final class HtmlPage {
 
 	private static final JsonMapper MAPPER = JsonMapper.builder().build();
@@ -54,10 +54,10 @@
 	}
 
 	/**
-	 * Writes the page.
-	 * @param summary the text at its top
+	 * Renders the page.
+	 * @param summary the lines of text at the top of the page
 	 * @param plots the plots by title
-	 * @return the page
+	 * @return the HTML of the page
 	 */
 	static String of(List<String> summary, Map<String, Series> plots) {
 		return HEAD + "<style>" + resource("uPlot.min.css") + "</style>\n<script>" + resource("uPlot.iife.min.js")
@@ -79,7 +79,8 @@
 					.set("values", MAPPER.valueToTree(series.values(name, seconds))));
 		});
 		try {
-			// Names come from logs: none may end the script.
+			// Names come from logs, so a "</script>" in one must not end the script
+			// element.
 			return MAPPER.writeValueAsString(list).replace("<", "\\u003c");
 		}
 		catch (JsonProcessingException ex) {
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/LogEvent.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/LogEvent.java
@@ -12,18 +12,19 @@
 import java.util.regex.Pattern;
 
 /**
- * One event of a gateway's log.
+ * One event from the log of a gateway.
  *
- * @param second when it was written, in seconds
- * @param gateway who wrote it
+ * @param second the time of the event in seconds, as given by the log collector,
+ * otherwise by the gateway (read as UTC)
+ * @param gateway the gateway that wrote it
  * @param name the name of the event
- * @param fields its fields in order
+ * @param fields the fields in the order of the line
  */
 record LogEvent(double second, String gateway, String name, Map<String, String> fields) {
 
 	private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss.SSS");
 
-	// A collector may put its own time and the name of the machine in front.
+	// A log collector may prefix the line with its own time and the host name.
 	private static final Pattern LINE = Pattern.compile(
 			"^(?:\\s*(-?\\d+(?:\\.\\d+)?)\\s+(\\S+)\\s+)?(\\d{4}-\\d\\d-\\d\\d \\d\\d:\\d\\d:\\d\\d\\.\\d{3})\\s+[A-Z]+\\s+E\\d{4} ([A-Z_]+)((?: .*)?)$");
 
@@ -32,11 +33,11 @@
 	private static final Pattern FIELD = Pattern.compile("\\G ([A-Za-z]+)=(\"[^\"]*\"|[^\\s\"]+)");
 
 	/**
-	 * Reads a line.
+	 * Parses a log line.
 	 * @param line the line
-	 * @param file the name of its file, which stands for the gateway when the line names
+	 * @param file the name of the log file, used as the gateway name when the line has
 	 * none
-	 * @return the event, empty when the line is none or is damaged
+	 * @return the event, empty when the line is not an event or is damaged
 	 */
 	static Optional<LogEvent> parse(String line, String file) {
 		Matcher matcher = LINE.matcher(line);
@@ -53,9 +54,9 @@
 	}
 
 	/**
-	 * Whether a line was meant as an event, readable or not.
+	 * Returns whether a line looks like an event, even if it is damaged.
 	 * @param line the line
-	 * @return false for what other programs print
+	 * @return false for the output of other programs
 	 */
 	static boolean isOurs(String line) {
 		return OURS.matcher(line).matches();
@@ -70,7 +71,7 @@
 			return OptionalDouble.of(time.toEpochSecond(ZoneOffset.UTC) + time.getNano() / 1e9);
 		}
 		catch (DateTimeParseException ex) {
-			// No such time: the line is damaged, and counted as such.
+			// The time is invalid, so the line counts as damaged.
 			return OptionalDouble.empty();
 		}
 	}
@@ -91,18 +92,18 @@
 	// -- fields
 
 	/**
-	 * A field as text.
-	 * @param field its name
-	 * @return its value, empty when it is absent
+	 * Returns a field as text.
+	 * @param field the name of the field
+	 * @return the value, an empty string when the field is absent
 	 */
 	String text(String field) {
 		return this.fields.getOrDefault(field, "");
 	}
 
 	/**
-	 * A field as a number.
-	 * @param field its name
-	 * @return its value, empty when it is absent or no number
+	 * Returns a field as a number.
+	 * @param field the name of the field
+	 * @return the value, empty when the field is absent or not a number
 	 */
 	OptionalDouble number(String field) {
 		try {
@@ -115,10 +116,10 @@
 	}
 
 	/**
-	 * A field as a number, with what its absence stands for.
-	 * @param field its name
-	 * @param otherwise the value when it is absent or no number
-	 * @return its value
+	 * Returns a field as a number, or a default.
+	 * @param field the name of the field
+	 * @param otherwise the default for a field that is absent or not a number
+	 * @return the value or the default
 	 */
 	double number(String field, double otherwise) {
 		return number(field).orElse(otherwise);
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/LogFolder.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/LogFolder.java
@@ -15,20 +15,20 @@
 import java.util.stream.Stream;
 
 /**
- * The events in a folder of logs, in order of time.
+ * The events of a folder of logs, in chronological order.
  *
  * @param events the events
- * @param damaged lines that were meant as events and cannot be read
- * @param foreign lines of other programs
+ * @param damaged the number of lines that look like events but cannot be parsed
+ * @param foreign the number of lines from other programs
  */
 record LogFolder(List<LogEvent> events, long damaged, long foreign) {
 
 	/**
-	 * Reads all files of a folder. A line that cannot be read is counted and passed over:
-	 * the last line of a process that was killed is often cut.
+	 * Reads all files of a folder. A line that cannot be parsed is counted and skipped,
+	 * since the last line of a killed process is often truncated.
 	 * @param folder the folder, or one file
-	 * @return what was read
-	 * @throws ReportException when the folder cannot be read or holds no event
+	 * @return the events and the counts of skipped lines
+	 * @throws ReportException when the folder cannot be read or contains no event
 	 */
 	static LogFolder read(Path folder) {
 		Counts counts = new Counts();
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/LogReport.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/LogReport.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Makes a page of the logs of gateways, for whoever asks after a bad hour which calls
- * were refused, late or lost, when and why.
+ * Writes an HTML report from the logs of gateways. It shows operators after an incident
+ * which calls were refused, late or lost, when and why.
  *
  * <pre>
  * List&lt;String&gt; summary = LogReport.write(Path.of("logs"), Path.of("report.html"));
@@ -19,11 +19,11 @@
 	}
 
 	/**
-	 * Writes the page.
+	 * Writes the report page.
 	 * @param logs the folder of logs, or one file
-	 * @param page where the page goes
+	 * @param page the file to write the page to
 	 * @return the report as text
-	 * @throws ReportException when the logs cannot be read, hold no event, or the page
+	 * @throws ReportException when the logs cannot be read, contain no event, or the page
 	 * cannot be written
 	 */
 	public static List<String> write(Path logs, Path page) {
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/PartReuse.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/PartReuse.java
@@ -10,22 +10,23 @@
 import java.util.Set;
 
 /**
- * What servers could find of the shared parts of prompts, judged by where calls went: a
- * part is found at a server that had a call with it before, fetched where the server that
- * it was to fetch from had one, and read again where only others had. Servers forget
- * parts when their memory is full, so that what is read again is at least this much.
+ * Estimates the reuse of shared prompt segments from the servers that calls were
+ * dispatched to. A segment counts as cached on a server that already had a call with it,
+ * as transferred if the server to transfer from had one, and as recomputed if only other
+ * servers had one. Servers evict segments when their memory is full, so the recomputed
+ * tokens are a lower bound.
  *
- * @param found the tokens that a server had
- * @param fetched the tokens that it fetched
- * @param again the tokens that only another server had
- * @param first the tokens that no server had
+ * @param found the tokens that the server had cached
+ * @param fetched the tokens that were transferred from another server
+ * @param again the tokens that were recomputed although another server had them cached
+ * @param first the tokens that no server had cached
  */
 record PartReuse(long found, long fetched, long again, long first) {
 
 	/**
-	 * Follows the calls of a log to their servers.
+	 * Computes the reuse from the dispatches of calls, in chronological order.
 	 * @param calls the calls
-	 * @return the tokens
+	 * @return the token counts
 	 */
 	static PartReuse of(Collection<CallStory> calls) {
 		List<LogEvent> sent = new ArrayList<>();
@@ -37,8 +38,8 @@
 	}
 
 	/**
-	 * The share of what could have been found that was read again.
-	 * @return the share, 0 when nothing could have been found
+	 * Returns the recomputed share of the tokens that at least one server had cached.
+	 * @return the share, 0 when no server had any of the tokens cached
 	 */
 	double shareReadAgain() {
 		long possible = this.found + this.fetched + this.again;
@@ -59,8 +60,8 @@
 
 		private long first;
 
-		// A part is of use only behind all parts before it, so that its name is the
-		// chain.
+		// A cached segment is usable only after all segments before it, so it is
+		// identified by the whole chain.
 		private void take(LogEvent event) {
 			String[] entries = event.text("parts").split(",");
 			Set<String> here = of(event.text("server"));
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Report.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Report.java
@@ -13,39 +13,39 @@
 import org.rosemaryfront.report.CallStory.Ending;
 
 /**
- * What became of the calls of a log, at which moments and for what reason.
+ * A report on how the calls of a log ended, when and for which reason.
  *
- * @param folder what was read
- * @param calls the calls by name
+ * @param folder the events read from the log
+ * @param calls the calls by request name
  */
 record Report(LogFolder folder, Map<String, CallStory> calls) {
 
-	/** The quota that was used when a call was sent, as the log writes it. */
+	/** The logged quota at the time of a dispatch: used/allowed. */
 	private static final String QUOTA = "\\d+/\\d+";
 
 	/**
-	 * Windows with fewer calls are left out: one call more or less makes them best or
+	 * Windows with fewer calls are omitted, since a single call would make them best or
 	 * worst.
 	 */
 	private static final int MIN_WINDOW_CALLS = 10;
 
 	private static final int WORST_WINDOWS = 8;
 
-	/** Reasons that a row names, the most frequent ones. */
+	/** The maximum number of reasons in a row; the most frequent ones are kept. */
 	private static final int REASONS = 6;
 
 	/**
-	 * Rows of a table, those with the most calls; an operator may have hundreds of
-	 * routes.
+	 * The maximum number of rows in a table, since an operator may have hundreds of
+	 * routes; those with the most calls are kept.
 	 */
 	private static final int ROWS = 12;
 
-	/** Lines of a plot; with more it cannot be read. */
+	/** The maximum number of lines in a plot; with more it is unreadable. */
 	private static final int LINES = 14;
 
 	/**
-	 * Makes the report.
-	 * @param folder what was read
+	 * Creates a report.
+	 * @param folder the events read from the log
 	 * @return the report
 	 */
 	static Report of(LogFolder folder) {
@@ -55,8 +55,8 @@
 	// -- plots
 
 	/**
-	 * The plots of the page, by title.
-	 * @return the plots in order
+	 * Returns the plots of the page.
+	 * @return the plots by title, in display order
 	 */
 	Map<String, Series> plots() {
 		Map<String, Series> plots = new LinkedHashMap<>();
@@ -103,7 +103,8 @@
 		return series;
 	}
 
-	// Each gateway tells the same servers; the one that tells most is followed.
+	// All gateways log the same servers, so only the gateway with the most such events is
+	// used.
 	private Series serversPresent() {
 		Series series = Series.measured();
 		Map<String, String> present = new TreeMap<>();
@@ -171,7 +172,7 @@
 	// -- text
 
 	/**
-	 * The report as text.
+	 * Returns the report as text.
 	 * @return the lines
 	 */
 	List<String> summary() {
@@ -220,7 +221,8 @@
 				tally.count(Ending.LEFT), tally.count(Ending.OPEN), reasons);
 	}
 
-	// The two seconds in which the smallest share was in time, with at least a few calls.
+	// The two-second windows with the smallest share of calls in time, among those with
+	// at least MIN_WINDOW_CALLS calls.
 	private List<String> worst() {
 		Map<Long, CallTally> windows = CallTally.by(this.calls.values(),
 				(call) -> 2 * (long) Math.floor(call.cameSecond() / 2));
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/ReportException.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/ReportException.java
@@ -1,6 +1,6 @@
 package org.rosemaryfront.report;
 
-/** A report that cannot be made; the message says why. */
+/** Thrown when a report cannot be created; the message states the reason. */
 public final class ReportException extends RuntimeException {
 
 	private ReportException(String message) {
@@ -8,8 +8,8 @@
 	}
 
 	/**
-	 * An exception.
-	 * @param message what is wrong
+	 * Creates an exception.
+	 * @param message the reason for the failure
 	 * @return the exception
 	 */
 	static ReportException of(String message) {
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Series.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Series.java
@@ -9,13 +9,13 @@
 import java.util.function.DoubleBinaryOperator;
 
 /**
- * Values by second, of several names, for one plot.
+ * The named lines of one plot, each with at most one value per second.
  */
 final class Series {
 
 	private final Map<String, TreeMap<Long, Double>> lines = new LinkedHashMap<>();
 
-	/** What stands in a second of which a line says nothing; null for a gap. */
+	/** The value of a line in a second without data; null for a gap. */
 	private final Double missing;
 
 	private Series(Double missing) {
@@ -25,7 +25,7 @@
 	// -- factories
 
 	/**
-	 * Counts: a second of which nothing is said had none.
+	 * Creates a series of counts, in which a second without data has the value 0.
 	 * @return an empty series
 	 */
 	static Series counts() {
@@ -33,7 +33,7 @@
 	}
 
 	/**
-	 * Measured values: a second of which nothing is said is not known.
+	 * Creates a series of measured values, in which a second without data is a gap.
 	 * @return an empty series
 	 */
 	static Series measured() {
@@ -41,11 +41,11 @@
 	}
 
 	/**
-	 * Puts a value into its second.
+	 * Adds a value to a line.
 	 * @param line the name of the line
-	 * @param second when
+	 * @param second the time of the value in seconds, rounded down
 	 * @param value the value
-	 * @param merge what becomes of two values of one second
+	 * @param merge the function that merges two values of the same second
 	 */
 	void put(String line, double second, double value, DoubleBinaryOperator merge) {
 		this.lines.computeIfAbsent(line, (_) -> new TreeMap<>())
@@ -53,17 +53,17 @@
 	}
 
 	/**
-	 * Adds to the count of a second.
+	 * Increments the count of a second.
 	 * @param line the name of the line
-	 * @param second when
+	 * @param second the time of the event in seconds, rounded down
 	 */
 	void count(String line, double second) {
 		put(line, second, 1, Double::sum);
 	}
 
 	/**
-	 * Drops lines beyond a number, those with the smallest sums first.
-	 * @param most the lines kept
+	 * Removes the lines with the smallest sums so that at most the given number remains.
+	 * @param most the maximum number of lines
 	 */
 	void keepLargest(int most) {
 		List<String> dropped = this.lines.keySet()
@@ -87,8 +87,8 @@
 	}
 
 	/**
-	 * The seconds that any line has.
-	 * @return the seconds in order
+	 * Returns the seconds in which at least one line has a value.
+	 * @return the seconds in ascending order
 	 */
 	long[] seconds() {
 		return this.lines.values()
@@ -100,10 +100,10 @@
 	}
 
 	/**
-	 * The values of a line.
-	 * @param line its name
+	 * Returns the values of a line at the given seconds.
+	 * @param line the name of the line
 	 * @param seconds the seconds
-	 * @return a value for each, null where it is not known
+	 * @return a value for each second, null for a gap
 	 */
 	Double[] values(String line, long[] seconds) {
 		TreeMap<Long, Double> values = this.lines.get(line);
--- a/rosemaryfront-ctl/src/test/java/org/rosemaryfront/report/LogReportTests.java
+++ b/rosemaryfront-ctl/src/test/java/org/rosemaryfront/report/LogReportTests.java
@@ -110,7 +110,8 @@
 	void shouldCompareFirstTokenFromSendingOn() {
 		CallStory call = story(dispatched(1.0, "c1", "s1"),
 				line(1.4, "CALL_ANSWERED request=c1 status=200 firstMillis=350 millis=500"));
-		// It came at 0.9 s and was sent at 1 s: 250 ms from there, against 100 expected.
+		// The call arrived at 0.9 s and was dispatched at 1 s: 250 ms to the first token
+		// from there, 100 ms expected.
 		assertThat(call.firstAgainstExpected().orElseThrow()).isBetween(2.49, 2.51);
 	}
 
@@ -124,8 +125,8 @@
 
 	// -- the page
 
-	// An operator opens the page after a flood: who was refused, for what reason, and
-	// what of the quota was used.
+	// After a traffic peak, an operator must find on the page which calls were refused,
+	// for which reason, and how much of the quota was used.
 	@Test
 	void shouldWritePageWithPlotsAndSummary() throws IOException {
 		write("a.log", dispatched(1, "c1", "s1"),
