--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/CallStory.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/CallHistory.java
@@ -10,13 +10,13 @@
  * The history of one call as recorded in the log: its arrival, its dispatches to servers
  * and its ending.
  */
-final class CallStory {
+final class CallHistory {
 
 	/**
 	 * The arrival time in seconds: the earliest, over its log lines, of the line's time
 	 * minus the elapsed time that the line reports.
 	 */
-	private double cameSecond;
+	private double arrivalSecond;
 
 	private String route = "none";
 
@@ -31,10 +31,10 @@
 	private String reason = "";
 
 	/** The time to the first chunk of the response; empty if it was not streamed. */
-	private OptionalDouble firstMillis = OptionalDouble.empty();
+	private OptionalDouble firstTokenMillis = OptionalDouble.empty();
 
-	private CallStory(double cameSecond) {
-		this.cameSecond = cameSecond;
+	private CallHistory(double cameSecond) {
+		this.arrivalSecond = cameSecond;
 	}
 
 	// -- factories
@@ -44,18 +44,18 @@
 	 * @param events the events in chronological order
 	 * @return the calls by request name, in order of their first log lines
 	 */
-	static Map<String, CallStory> of(List<LogEvent> events) {
-		Map<String, CallStory> calls = new LinkedHashMap<>();
+	static Map<String, CallHistory> of(List<LogEvent> events) {
+		Map<String, CallHistory> calls = new LinkedHashMap<>();
 		for (LogEvent event : events) {
 			String request = event.text("request");
 			if (!request.isEmpty() && event.name().startsWith("CALL")) {
-				calls.computeIfAbsent(request, (_) -> new CallStory(event.second())).take(event);
+				calls.computeIfAbsent(request, (_) -> new CallHistory(event.second())).apply(event);
 			}
 		}
 		return calls;
 	}
 
-	private void take(LogEvent event) {
+	private void apply(LogEvent event) {
 		if (!event.text("route").isEmpty()) {
 			this.route = event.text("route");
 		}
@@ -63,10 +63,10 @@
 			this.organisation = event.text("organisation");
 		}
 		this.targetMillis = event.number("targetMillis", this.targetMillis);
-		this.cameSecond = Math.min(this.cameSecond, event.second() - event.number("millis", 0) / 1_000);
+		this.arrivalSecond = Math.min(this.arrivalSecond, event.second() - event.number("millis", 0) / 1_000);
 		switch (event.name()) {
 			case "CALL_DISPATCHED" -> this.dispatches.add(event);
-			case "CALL_ANSWERED" -> answered(event);
+			case "CALL_ANSWERED" -> applyAnswer(event);
 			case "CALL_REFUSED" -> {
 				this.ending = Ending.REFUSED;
 				this.reason = event.text("reason");
@@ -78,24 +78,24 @@
 		}
 	}
 
-	private void answered(LogEvent event) {
+	private void applyAnswer(LogEvent event) {
 		double millis = event.number("millis", 0);
 		double first = event.number("firstMillis", -1);
-		this.firstMillis = (first >= 0) ? OptionalDouble.of(first) : OptionalDouble.empty();
-		boolean good = event.number("status", 0) < 300;
+		this.firstTokenMillis = (first >= 0) ? OptionalDouble.of(first) : OptionalDouble.empty();
+		boolean success = event.number("status", 0) < 300;
 		this.reason = event.text("reason");
-		if (!good) {
+		if (!success) {
 			this.ending = Ending.FAILED;
 		}
 		else {
-			this.ending = (this.firstMillis.orElse(millis) <= this.targetMillis) ? Ending.IN_TIME : Ending.LATE;
+			this.ending = (this.firstTokenMillis.orElse(millis) <= this.targetMillis) ? Ending.IN_TIME : Ending.LATE;
 		}
 	}
 
 	// -- queries
 
-	double cameSecond() {
-		return this.cameSecond;
+	double arrivalSecond() {
+		return this.arrivalSecond;
 	}
 
 	String route() {
@@ -125,14 +125,15 @@
 	 * @return the ratio, empty when the call was not dispatched exactly once, its
 	 * response was not streamed, or the log has no expected time
 	 */
-	OptionalDouble firstAgainstExpected() {
-		if (this.dispatches.size() != 1 || this.firstMillis.isEmpty()) {
+	OptionalDouble firstTokenRatio() {
+		if (this.dispatches.size() != 1 || this.firstTokenMillis.isEmpty()) {
 			return OptionalDouble.empty();
 		}
-		LogEvent sent = this.dispatches.getFirst();
-		double expected = sent.number("expectedMillis", 0);
-		double waited = (sent.second() - this.cameSecond) * 1_000;
-		return (expected > 0) ? OptionalDouble.of(Math.max(1, this.firstMillis.getAsDouble() - waited) / expected)
+		LogEvent dispatch = this.dispatches.getFirst();
+		double expectedMillis = dispatch.number("expectedMillis", 0);
+		double waitedMillis = (dispatch.second() - this.arrivalSecond) * 1_000;
+		return (expectedMillis > 0)
+				? OptionalDouble.of(Math.max(1, this.firstTokenMillis.getAsDouble() - waitedMillis) / expectedMillis)
 				: OptionalDouble.empty();
 	}
 
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/CallTally.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/CallTally.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 
-import org.rosemaryfront.report.CallStory.Ending;
+import org.rosemaryfront.report.CallHistory.Ending;
 
 /**
  * Counts of calls by ending and by reason.
@@ -25,7 +25,7 @@
 	 * @param key the function that returns the property of a call
 	 * @return a tally for each value of the property, in the order of the values
 	 */
-	static <K extends Comparable<K>> Map<K, CallTally> by(Collection<CallStory> calls, Function<CallStory, K> key) {
+	static <K extends Comparable<K>> Map<K, CallTally> by(Collection<CallHistory> calls, Function<CallHistory, K> key) {
 		Map<K, CallTally> tallies = new TreeMap<>();
 		calls.forEach((call) -> tallies.computeIfAbsent(key.apply(call), (_) -> new CallTally()).add(call));
 		return tallies;
@@ -36,13 +36,13 @@
 	 * @param calls the calls
 	 * @return the tally
 	 */
-	static CallTally of(Collection<CallStory> calls) {
+	static CallTally of(Collection<CallHistory> calls) {
 		CallTally tally = new CallTally();
 		calls.forEach(tally::add);
 		return tally;
 	}
 
-	private void add(CallStory call) {
+	private void add(CallHistory call) {
 		this.endings.merge(call.ending(), 1, Integer::sum);
 		if (!call.reason().isEmpty()) {
 			this.reasons.merge(call.reason(), 1, Integer::sum);
@@ -53,7 +53,7 @@
 		return this.endings.getOrDefault(ending, 0);
 	}
 
-	int all() {
+	int total() {
 		return this.endings.values().stream().mapToInt(Integer::intValue).sum();
 	}
 
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Deciles.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Deciles.java
@@ -14,7 +14,7 @@
  */
 record Deciles(List<Double> values, int count) {
 
-	private static final int PARTS = 10;
+	private static final int GROUPS = 10;
 
 	/**
 	 * Computes the deciles of a sample.
@@ -25,7 +25,9 @@
 		double[] sorted = sample.clone();
 		Arrays.sort(sorted);
 		List<Double> values = (sorted.length == 0) ? List.of()
-				: IntStream.range(1, PARTS).mapToObj((part) -> sorted[part * (sorted.length - 1) / PARTS]).toList();
+				: IntStream.range(1, GROUPS)
+					.mapToObj((decile) -> sorted[decile * (sorted.length - 1) / GROUPS])
+					.toList();
 		return new Deciles(values, sorted.length);
 	}
 
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/LogEvent.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/LogEvent.java
@@ -28,7 +28,7 @@
 	private static final Pattern LINE = Pattern.compile(
 			"^(?:\\s*(-?\\d+(?:\\.\\d+)?)\\s+(\\S+)\\s+)?(\\d{4}-\\d\\d-\\d\\d \\d\\d:\\d\\d:\\d\\d\\.\\d{3})\\s+[A-Z]+\\s+E\\d{4} ([A-Z_]+)((?: .*)?)$");
 
-	private static final Pattern OURS = Pattern.compile(".*\\d\\d:\\d\\d\\.\\d{3}\\s+[A-Z]+\\s+E\\d{4}.*");
+	private static final Pattern EVENT_LIKE = Pattern.compile(".*\\d\\d:\\d\\d\\.\\d{3}\\s+[A-Z]+\\s+E\\d{4}.*");
 
 	private static final Pattern FIELD = Pattern.compile("\\G ([A-Za-z]+)=(\"[^\"]*\"|[^\\s\"]+)");
 
@@ -58,16 +58,16 @@
 	 * @param line the line
 	 * @return false for the output of other programs
 	 */
-	static boolean isOurs(String line) {
-		return OURS.matcher(line).matches();
+	static boolean looksLikeEvent(String line) {
+		return EVENT_LIKE.matcher(line).matches();
 	}
 
-	private static OptionalDouble second(String collected, String written) {
-		if (collected != null) {
-			return OptionalDouble.of(Double.parseDouble(collected));
+	private static OptionalDouble second(String collectorTime, String logTime) {
+		if (collectorTime != null) {
+			return OptionalDouble.of(Double.parseDouble(collectorTime));
 		}
 		try {
-			LocalDateTime time = LocalDateTime.parse(written, TIME);
+			LocalDateTime time = LocalDateTime.parse(logTime, TIME);
 			return OptionalDouble.of(time.toEpochSecond(ZoneOffset.UTC) + time.getNano() / 1e9);
 		}
 		catch (DateTimeParseException ex) {
@@ -118,11 +118,11 @@
 	/**
 	 * Returns a field as a number, or a default.
 	 * @param field the name of the field
-	 * @param otherwise the default for a field that is absent or not a number
+	 * @param defaultValue the default for a field that is absent or not a number
 	 * @return the value or the default
 	 */
-	double number(String field, double otherwise) {
-		return number(field).orElse(otherwise);
+	double number(String field, double defaultValue) {
+		return number(field).orElse(defaultValue);
 	}
 
 }
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/LogFolder.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/LogFolder.java
@@ -31,7 +31,7 @@
 	 * @throws ReportException when the folder cannot be read or contains no event
 	 */
 	static LogFolder read(Path folder) {
-		Counts counts = new Counts();
+		Accumulator counts = new Accumulator();
 		List<Path> files = files(folder);
 		files.forEach((file) -> read(file, counts));
 		if (counts.events.isEmpty()) {
@@ -54,7 +54,7 @@
 		}
 	}
 
-	private static void read(Path file, Counts counts) {
+	private static void read(Path file, Accumulator counts) {
 		String name = file.getFileName().toString();
 		try (BufferedReader lines = new BufferedReader(Channels.newReader(Files.newByteChannel(file),
 				StandardCharsets.UTF_8.newDecoder()
@@ -62,7 +62,7 @@
 					.onUnmappableCharacter(CodingErrorAction.REPLACE),
 				-1))) {
 			for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-				counts.take(line, name);
+				counts.add(line, name);
 			}
 		}
 		catch (IOException ex) {
@@ -70,7 +70,7 @@
 		}
 	}
 
-	private static final class Counts {
+	private static final class Accumulator {
 
 		private final List<LogEvent> events = new ArrayList<>();
 
@@ -78,12 +78,12 @@
 
 		private long foreign;
 
-		private void take(String line, String file) {
+		private void add(String line, String file) {
 			Optional<LogEvent> event = LogEvent.parse(line, file);
 			if (event.isPresent()) {
 				this.events.add(event.get());
 			}
-			else if (LogEvent.isOurs(line)) {
+			else if (LogEvent.looksLikeEvent(line)) {
 				this.damaged++;
 			}
 			else if (!line.isBlank()) {
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Report.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Report.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 
-import org.rosemaryfront.report.CallStory.Ending;
+import org.rosemaryfront.report.CallHistory.Ending;
 
 /**
  * A report on how the calls of a log ended, when and for which reason.
@@ -18,7 +18,7 @@
  * @param folder the events read from the log
  * @param calls the calls by request name
  */
-record Report(LogFolder folder, Map<String, CallStory> calls) {
+record Report(LogFolder folder, Map<String, CallHistory> calls) {
 
 	/** The logged quota at the time of a dispatch: used/allowed. */
 	private static final String QUOTA = "\\d+/\\d+";
@@ -32,16 +32,16 @@
 	private static final int WORST_WINDOWS = 8;
 
 	/** The maximum number of reasons in a row; the most frequent ones are kept. */
-	private static final int REASONS = 6;
+	private static final int MAX_REASONS = 6;
 
 	/**
 	 * The maximum number of rows in a table, since an operator may have hundreds of
 	 * routes; those with the most calls are kept.
 	 */
-	private static final int ROWS = 12;
+	private static final int MAX_ROWS = 12;
 
 	/** The maximum number of lines in a plot; with more it is unreadable. */
-	private static final int LINES = 14;
+	private static final int MAX_LINES = 14;
 
 	/**
 	 * Creates a report.
@@ -49,7 +49,7 @@
 	 * @return the report
 	 */
 	static Report of(LogFolder folder) {
-		return new Report(folder, CallStory.of(folder.events()));
+		return new Report(folder, CallHistory.of(folder.events()));
 	}
 
 	// -- plots
@@ -69,13 +69,13 @@
 		plots.put("Servers ordered, by zone and sort; refused orders", serversOrdered());
 		plots.put("Quota used of what is allowed, by organisation", quotas());
 		plots.values().removeIf(Series::isEmpty);
-		plots.values().forEach((series) -> series.keepLargest(LINES));
+		plots.values().forEach((series) -> series.keepLargest(MAX_LINES));
 		return plots;
 	}
 
 	private Series endings() {
 		Series series = Series.counts();
-		this.calls.values().forEach((call) -> series.count(word(call.ending()), call.cameSecond()));
+		this.calls.values().forEach((call) -> series.count(label(call.ending()), call.arrivalSecond()));
 		return series;
 	}
 
@@ -84,13 +84,13 @@
 		this.calls.values()
 			.stream()
 			.filter((call) -> !call.reason().isEmpty())
-			.forEach((call) -> series.count(call.reason(), call.cameSecond()));
+			.forEach((call) -> series.count(call.reason(), call.arrivalSecond()));
 		return series;
 	}
 
 	private Series dispatched(String field) {
 		Series series = Series.measured();
-		named("CALL_DISPATCHED").forEach((event) -> event.number(field)
+		eventsNamed("CALL_DISPATCHED").forEach((event) -> event.number(field)
 			.ifPresent((value) -> series.put(event.text("server"), event.second(), value, Math::max)));
 		return series;
 	}
@@ -98,8 +98,8 @@
 	private Series firstTokens() {
 		Series series = Series.measured();
 		this.calls.values()
-			.forEach((call) -> call.firstAgainstExpected()
-				.ifPresent((ratio) -> series.put("ratio", call.cameSecond(), ratio, Math::max)));
+			.forEach((call) -> call.firstTokenRatio()
+				.ifPresent((ratio) -> series.put("ratio", call.arrivalSecond(), ratio, Math::max)));
 		return series;
 	}
 
@@ -109,49 +109,49 @@
 		Series series = Series.measured();
 		Map<String, String> present = new TreeMap<>();
 		Map<String, Integer> counts = new TreeMap<>();
-		String teller = mostTelling("SERVER_REGISTERED");
-		this.folder.events().stream().filter((event) -> event.gateway().equals(teller)).forEach((event) -> {
+		String gateway = gatewayWithMost("SERVER_REGISTERED");
+		this.folder.events().stream().filter((event) -> event.gateway().equals(gateway)).forEach((event) -> {
 			String server = event.text("server");
 			if (event.name().equals("SERVER_REGISTERED")) {
-				move(counts, present.remove(server), -1);
+				adjust(counts, present.remove(server), -1);
 				if (event.text("leaving").equals("false")) {
-					present.put(server, sort(event));
-					move(counts, sort(event), 1);
+					present.put(server, category(event));
+					adjust(counts, category(event), 1);
 				}
 			}
 			else if (event.name().equals("SERVER_DROPPED")) {
-				move(counts, present.remove(server), -1);
+				adjust(counts, present.remove(server), -1);
 			}
 			else {
 				return;
 			}
-			counts.forEach((sort, count) -> series.put(sort, event.second(), count, (_, last) -> last));
+			counts.forEach((category, count) -> series.put(category, event.second(), count, (_, last) -> last));
 		});
 		return series;
 	}
 
-	private static void move(Map<String, Integer> counts, String sort, int by) {
-		if (sort != null) {
-			counts.merge(sort, by, Integer::sum);
+	private static void adjust(Map<String, Integer> counts, String category, int delta) {
+		if (category != null) {
+			counts.merge(category, delta, Integer::sum);
 		}
 	}
 
 	private Series serversOrdered() {
 		Series series = Series.measured();
-		named("SIZE_ORDERED")
-			.forEach((event) -> series.put(sort(event), event.second(), event.number("servers", 0), (_, last) -> last));
-		named("SIZE_NOT_ORDERED").forEach((event) -> series.count("refused", event.second()));
+		eventsNamed("SIZE_ORDERED").forEach(
+				(event) -> series.put(category(event), event.second(), event.number("servers", 0), (_, last) -> last));
+		eventsNamed("SIZE_NOT_ORDERED").forEach((event) -> series.count("refused", event.second()));
 		return series;
 	}
 
-	private static String sort(LogEvent event) {
+	private static String category(LogEvent event) {
 		boolean reclaimable = event.text("reclaimable").equals("true");
 		return event.text("service") + ' ' + event.text("zone") + (reclaimable ? " reclaimable" : " on demand");
 	}
 
 	private Series quotas() {
 		Series series = Series.measured();
-		named("CALL_DISPATCHED").filter((event) -> event.text("quota").matches(QUOTA)).forEach((event) -> {
+		eventsNamed("CALL_DISPATCHED").filter((event) -> event.text("quota").matches(QUOTA)).forEach((event) -> {
 			String[] parts = event.text("quota").split("/");
 			double allowed = Math.max(1, Double.parseDouble(parts[1]));
 			series.put(event.text("organisation"), event.second(), Double.parseDouble(parts[0]) / allowed, Math::max);
@@ -159,13 +159,13 @@
 		return series;
 	}
 
-	private String mostTelling(String event) {
+	private String gatewayWithMost(String event) {
 		Map<String, Integer> counts = new TreeMap<>();
-		named(event).forEach((told) -> counts.merge(told.gateway(), 1, Integer::sum));
+		eventsNamed(event).forEach((match) -> counts.merge(match.gateway(), 1, Integer::sum));
 		return counts.entrySet().stream().max(Map.Entry.comparingByValue()).map(Map.Entry::getKey).orElse("");
 	}
 
-	private Stream<LogEvent> named(String name) {
+	private Stream<LogEvent> eventsNamed(String name) {
 		return this.folder.events().stream().filter((event) -> event.name().equals(name));
 	}
 
@@ -180,14 +180,14 @@
 		lines.add(this.folder.events().size() + " events of " + gateways() + " gateways; " + this.folder.damaged()
 				+ " damaged and " + this.folder.foreign() + " foreign lines passed over");
 		lines.add("");
-		lines.addAll(table("route", CallTally.by(this.calls.values(), CallStory::route)));
+		lines.addAll(table("route", CallTally.by(this.calls.values(), CallHistory::route)));
 		lines.add("");
-		lines.addAll(table("organisation", CallTally.by(this.calls.values(), CallStory::organisation)));
+		lines.addAll(table("organisation", CallTally.by(this.calls.values(), CallHistory::organisation)));
 		lines.add("");
-		lines.addAll(worst());
+		lines.addAll(worstWindows());
 		lines.add("");
 		lines.add("first token, taken / expected: " + firstTokenLine());
-		lines.add(sharedLine());
+		lines.add(segmentReuseLine());
 		return lines;
 	}
 
@@ -201,8 +201,8 @@
 				"failed", "left", "open", "refused and failed, by reason"));
 		tallies.entrySet()
 			.stream()
-			.sorted(Comparator.comparingInt((entry) -> -entry.getValue().all()))
-			.limit(ROWS)
+			.sorted(Comparator.comparingInt((entry) -> -entry.getValue().total()))
+			.limit(MAX_ROWS)
 			.forEach((entry) -> lines.add(row(entry.getKey(), entry.getValue())));
 		lines.add(row("all " + tallies.size(), CallTally.of(this.calls.values())));
 		return lines;
@@ -214,39 +214,39 @@
 			.entrySet()
 			.stream()
 			.sorted(Map.Entry.<String, Integer>comparingByValue().reversed())
-			.limit(REASONS)
+			.limit(MAX_REASONS)
 			.forEach((reason) -> reasons.append(' ').append(reason.getKey()).append(' ').append(reason.getValue()));
-		return String.format("%-20s %7d %7d %7d %7d %7d %7d %7d %s", name, tally.all(), tally.count(Ending.IN_TIME),
+		return String.format("%-20s %7d %7d %7d %7d %7d %7d %7d %s", name, tally.total(), tally.count(Ending.IN_TIME),
 				tally.count(Ending.LATE), tally.count(Ending.REFUSED), tally.count(Ending.FAILED),
 				tally.count(Ending.LEFT), tally.count(Ending.OPEN), reasons);
 	}
 
 	// The two-second windows with the smallest share of calls in time, among those with
 	// at least MIN_WINDOW_CALLS calls.
-	private List<String> worst() {
+	private List<String> worstWindows() {
 		Map<Long, CallTally> windows = CallTally.by(this.calls.values(),
-				(call) -> 2 * (long) Math.floor(call.cameSecond() / 2));
+				(call) -> 2 * (long) Math.floor(call.arrivalSecond() / 2));
 		long start = this.folder.events().stream().mapToLong((event) -> (long) event.second()).min().orElse(0);
 		List<String> lines = new ArrayList<>();
 		lines.add("the two-second windows with the smallest share in time (seconds as the log counts them)");
 		windows.entrySet()
 			.stream()
-			.filter((window) -> window.getValue().all() >= MIN_WINDOW_CALLS)
-			.sorted((a, b) -> Double.compare(inTime(a.getValue()), inTime(b.getValue())))
+			.filter((window) -> window.getValue().total() >= MIN_WINDOW_CALLS)
+			.sorted((a, b) -> Double.compare(inTimeShare(a.getValue()), inTimeShare(b.getValue())))
 			.limit(WORST_WINDOWS)
 			.forEach((window) -> lines
 				.add(row(window.getKey() + " (+" + (window.getKey() - start) + ")", window.getValue())));
 		return lines;
 	}
 
-	private static double inTime(CallTally tally) {
-		return (double) tally.count(Ending.IN_TIME) / tally.all();
+	private static double inTimeShare(CallTally tally) {
+		return (double) tally.count(Ending.IN_TIME) / tally.total();
 	}
 
 	private String firstTokenLine() {
 		Deciles deciles = Deciles.of(this.calls.values()
 			.stream()
-			.map(CallStory::firstAgainstExpected)
+			.map(CallHistory::firstTokenRatio)
 			.filter(OptionalDouble::isPresent)
 			.mapToDouble(OptionalDouble::getAsDouble)
 			.toArray());
@@ -254,14 +254,15 @@
 				: String.format(Locale.ROOT, "deciles %s, of %d calls", deciles, deciles.count());
 	}
 
-	private String sharedLine() {
-		PartReuse parts = PartReuse.of(this.calls.values());
+	private String segmentReuseLine() {
+		SegmentReuse parts = SegmentReuse.of(this.calls.values());
 		return String.format(Locale.ROOT,
 				"tokens of shared parts, by where calls went: %d found, %d fetched, %d read again (%.1f%% of these), %d read first",
-				parts.found(), parts.fetched(), parts.again(), 100 * parts.shareReadAgain(), parts.first());
+				parts.cached(), parts.transferred(), parts.recomputed(), 100 * parts.recomputedShare(),
+				parts.uncached());
 	}
 
-	private static String word(Ending ending) {
+	private static String label(Ending ending) {
 		return ending.name().toLowerCase(Locale.ROOT).replace('_', ' ');
 	}
 
--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Series.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Series.java
@@ -63,13 +63,13 @@
 
 	/**
 	 * Removes the lines with the smallest sums so that at most the given number remains.
-	 * @param most the maximum number of lines
+	 * @param maxLines the maximum number of lines
 	 */
-	void keepLargest(int most) {
+	void keepLargest(int maxLines) {
 		List<String> dropped = this.lines.keySet()
 			.stream()
 			.sorted(Comparator.comparingDouble(this::sum).reversed())
-			.skip(most)
+			.skip(maxLines)
 			.toList();
 		dropped.forEach(this.lines::remove);
 	}
--- a/rosemaryfront-ctl/src/test/java/org/rosemaryfront/report/LogReportTests.java
+++ b/rosemaryfront-ctl/src/test/java/org/rosemaryfront/report/LogReportTests.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import org.rosemaryfront.report.CallStory.Ending;
+import org.rosemaryfront.report.CallHistory.Ending;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatExceptionOfType;
@@ -35,7 +35,7 @@
 	@CsvSource(delimiter = '|', value = { "2026-08-29 14:04:10.085 INFO E2704 CALL_ANSWERED status=200 | file | 200",
 			"   0.0862 front-a-3 2026-08-29 14:04:10.085 INFO E2704 CALL_ANSWERED status=200 | front-a-3 | 200",
 			"-12.1 front-a-3 2026-08-29 14:04:10.085 WARN E2707 ANSWER_BROKEN status=\"2 00\" | front-a-3 | 2 00" })
-	void shouldReadLineAsGatewayAndCollectorWriteIt(String line, String gateway, String status) {
+	void shouldParseLineWhenWrittenByGatewayOrCollector(String line, String gateway, String status) {
 		LogEvent event = LogEvent.parse(line, "file").orElseThrow();
 		assertThat(event.gateway()).isEqualTo(gateway);
 		assertThat(event.text("status")).isEqualTo(status);
@@ -47,7 +47,7 @@
 			"2026-08-29 14:04:10.085 INFO E2704 CALL_ANSWERED status=",
 			"2026-18-29 14:04:10.085 INFO E2704 CALL_ANSWERED",
 			"2026-08-29 14:04:10.085 INFO E2704 CALL_ANSWERED status" })
-	void shouldPassOverLineThatIsForeignOrCut(String line) {
+	void shouldSkipLineWhenForeignOrTruncated(String line) {
 		assertThat(LogEvent.parse(line, "file")).isEmpty();
 	}
 
@@ -78,14 +78,14 @@
 	// -- bad input
 
 	@Test
-	void shouldSayThatFolderHoldsNoEvent() throws IOException {
+	void shouldFailWhenFolderContainsNoEvent() throws IOException {
 		write("a.log", "nothing of ours");
 		assertThatExceptionOfType(ReportException.class).isThrownBy(() -> LogFolder.read(this.folder))
 			.withMessageContaining("1 files, 0 damaged and 1 foreign");
 	}
 
 	@Test
-	void shouldSayThatFolderDoesNotExist() {
+	void shouldFailWhenFolderDoesNotExist() {
 		assertThatExceptionOfType(ReportException.class).isThrownBy(() -> LogFolder.read(this.folder.resolve("none")))
 			.withMessageContaining("does not exist");
 	}
@@ -95,32 +95,32 @@
 	@ParameterizedTest
 	@CsvSource({ "200, 80, 900, IN_TIME", "200, 700, 900, LATE", "200, -1, 500, IN_TIME", "200, -1, 900, LATE",
 			"502, -1, 20, FAILED" })
-	void shouldTellHowCallEnded(int status, int firstMillis, int millis, Ending ending) {
-		CallStory call = story(dispatched(1, "c1", "s1"), line(2,
+	void shouldDetermineEndingWhenCallIsAnswered(int status, int firstMillis, int millis, Ending ending) {
+		CallHistory call = history(dispatched(1, "c1", "s1"), line(2,
 				"CALL_ANSWERED request=c1 status=" + status + " firstMillis=" + firstMillis + " millis=" + millis));
 		assertThat(call.ending()).isEqualTo(ending);
 	}
 
 	@Test
-	void shouldTakeCallWithoutEndAsOpen() {
-		assertThat(story(dispatched(1, "c1", "s1")).ending()).isEqualTo(Ending.OPEN);
+	void shouldReportCallAsOpenWhenLogHasNoEnding() {
+		assertThat(history(dispatched(1, "c1", "s1")).ending()).isEqualTo(Ending.OPEN);
 	}
 
 	@Test
-	void shouldCompareFirstTokenFromSendingOn() {
-		CallStory call = story(dispatched(1.0, "c1", "s1"),
+	void shouldMeasureFirstTokenFromDispatch() {
+		CallHistory call = history(dispatched(1.0, "c1", "s1"),
 				line(1.4, "CALL_ANSWERED request=c1 status=200 firstMillis=350 millis=500"));
 		// The call arrived at 0.9 s and was dispatched at 1 s: 250 ms to the first token
 		// from there, 100 ms expected.
-		assertThat(call.firstAgainstExpected().orElseThrow()).isBetween(2.49, 2.51);
+		assertThat(call.firstTokenRatio().orElseThrow()).isBetween(2.49, 2.51);
 	}
 
 	@Test
-	void shouldTellSharedPartsFoundFromThoseReadAgain() {
-		Map<String, CallStory> calls = CallStory.of(events(dispatched(1, "c1", "s1"), dispatched(2, "c2", "s1"),
+	void shouldDistinguishCachedFromRecomputedSegments() {
+		Map<String, CallHistory> calls = CallHistory.of(events(dispatched(1, "c1", "s1"), dispatched(2, "c2", "s1"),
 				dispatched(3, "c3", "s2"), dispatched(4, "c4", "s2"), dispatched(5, "c5", "s3") + " fetchFrom=s2",
 				dispatched(6, "c6", "s4") + " fetchFrom=s5"));
-		assertThat(PartReuse.of(calls.values())).isEqualTo(new PartReuse(1_600, 800, 1_600, 800));
+		assertThat(SegmentReuse.of(calls.values())).isEqualTo(new SegmentReuse(1_600, 800, 1_600, 800));
 	}
 
 	// -- the page
@@ -156,8 +156,8 @@
 		return List.of(lines).stream().map((line) -> LogEvent.parse(line, "file").orElseThrow()).toList();
 	}
 
-	private static CallStory story(String... lines) {
-		return CallStory.of(events(lines)).get("c1");
+	private static CallHistory history(String... lines) {
+		return CallHistory.of(events(lines)).get("c1");
 	}
 
 	private void write(String file, String... lines) throws IOException {
