--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/CallHistory.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/CallHistory.java
@@ -33,8 +33,8 @@
 	/** The time to the first chunk of the response; empty if it was not streamed. */
 	private OptionalDouble firstTokenMillis = OptionalDouble.empty();
 
-	private CallHistory(double cameSecond) {
-		this.arrivalSecond = cameSecond;
+	private CallHistory(double arrivalSecond) {
+		this.arrivalSecond = arrivalSecond;
 	}
 
 	// -- factories
