--- a/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Deciles.java
+++ b/rosemaryfront-ctl/src/main/java/org/rosemaryfront/report/Deciles.java
@@ -9,15 +9,15 @@
 /**
  * The nine deciles of a sample.
  *
- * @param values the deciles in order, none for an empty sample
+ * @param values the deciles in ascending order, none for an empty sample
  * @param count the size of the sample
  */
 record Deciles(List<Double> values, int count) {
 
-	private static final int PARTS = 10;
+	private static final int GROUPS = 10;
 
 	/**
-	 * The deciles of a sample.
+	 * Computes the deciles of a sample.
 	 * @param sample the values, in any order
 	 * @return the deciles
 	 */
@@ -25,7 +25,9 @@
 		double[] sorted = sample.clone();
 		Arrays.sort(sorted);
 		List<Double> values = (sorted.length == 0) ? List.of()
-				: IntStream.range(1, PARTS).mapToObj((part) -> sorted[part * (sorted.length - 1) / PARTS]).toList();
+				: IntStream.range(1, GROUPS)
+					.mapToObj((decile) -> sorted[decile * (sorted.length - 1) / GROUPS])
+					.toList();
 		return new Deciles(values, sorted.length);
 	}
 
