--- a/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/SimulatedMember.java
+++ b/rosemaryfront-bench/src/main/java/org/rosemaryfront/bench/SimulatedMember.java
@@ -154,8 +154,8 @@
 			switch (command) {
 				case MembershipCommand.Send send -> sends.add(send);
 				case MembershipCommand.DepartureReceived learned -> this.departures.add(learned.notice().vm());
-				case MembershipCommand.PeerMessageReceived peer ->
-					this.state.accept(new ConfigurationEvent.PeerHeard(peer.address(), peer.revision()), now);
+				case MembershipCommand.PeerMessageReceived peer -> this.state
+					.accept(new ConfigurationEvent.PeerRevisionReceived(peer.address(), peer.revision()), now);
 				case MembershipCommand.MemberChanged changed -> this.changes.add(changed.record());
 				case MembershipCommand.Refuted _, MembershipCommand.PauseDetected _ -> {
 				}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationEvent.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationEvent.java
@@ -27,9 +27,9 @@
 	 * @param address the address of the peer
 	 * @param revision the revision, or 0 if the peer has no configuration
 	 */
-	record PeerHeard(String address, long revision) implements ConfigurationEvent {
+	record PeerRevisionReceived(String address, long revision) implements ConfigurationEvent {
 
-		public PeerHeard {
+		public PeerRevisionReceived {
 			Objects.requireNonNull(address, "address is null");
 		}
 
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationState.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationState.java
@@ -99,7 +99,8 @@
 		switch (event) {
 			case ConfigurationEvent.HeadRead head -> headRead(head.revision(), nowNanos);
 			case ConfigurationEvent.HeadFailed _ -> this.headReadPending = false;
-			case ConfigurationEvent.PeerHeard peer -> peerRevisionReceived(peer.address(), peer.revision(), nowNanos);
+			case ConfigurationEvent.PeerRevisionReceived peer ->
+				peerRevisionReceived(peer.address(), peer.revision(), nowNanos);
 			case ConfigurationEvent.ConfigurationRead read -> configurationRead(read.configuration());
 			case ConfigurationEvent.ReadFailed _ -> readFailed(nowNanos);
 		}
@@ -166,7 +167,7 @@
 		if (this.headReadPending && now - this.headReadStartedAt > this.timing.readTimeoutNanos()) {
 			this.headReadPending = false;
 		}
-		long pollInterval = this.timing.pollNanos(members);
+		long pollInterval = this.timing.pollIntervalNanos(members);
 		this.nextHeadReadAt = Math.min(this.nextHeadReadAt, now + pollInterval * 3 / 2);
 		if (!this.headReadPending && now >= this.nextHeadReadAt) {
 			this.headReadPending = true;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationTiming.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/configuration/ConfigurationTiming.java
@@ -50,7 +50,7 @@
 	 * @param members the number of members
 	 * @return the interval in nanoseconds
 	 */
-	public long pollNanos(int members) {
+	public long pollIntervalNanos(int members) {
 		double seconds = members / this.headReadsPerSecond;
 		long nanos = (long) (seconds * Duration.ofSeconds(1).toNanos());
 		return Math.clamp(nanos, this.shortestPollNanos, this.longestPollNanos);
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/EventHandler.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/EventHandler.java
@@ -79,7 +79,7 @@
 		attempt.cachedTokens = cachedTokens;
 		attempt.server.failures = 0;
 		attempt.server.hints.recordOutcome(attempt.hintedTokens, cachedTokens);
-		attempt.request.verdict = attempt.request.verdict.then(Verdict.ran());
+		attempt.request.verdict = attempt.request.verdict.combinedWith(Verdict.ran());
 	}
 
 	private void handleProgress(Attempt attempt, int emittedTokens, long nowNanos) {
@@ -101,7 +101,7 @@
 		attempt.lastTokenNanos = nowNanos;
 		request.emittedTokens = emittedTokens;
 		request.failuresSinceToken = 0;
-		request.verdict = request.verdict.then(Verdict.ran());
+		request.verdict = request.verdict.combinedWith(Verdict.ran());
 	}
 
 	private void handleFinished(Attempt attempt, long nowNanos) {
@@ -118,7 +118,7 @@
 	private void handleConnectionFailure(Attempt attempt, ConnectionFailure failure, long nowNanos) {
 		this.state.end(attempt, nowNanos);
 		if (failure != ConnectionFailure.CONNECT_FAILED) {
-			attempt.request.verdict = attempt.request.verdict.then(Verdict.mayHaveRun());
+			attempt.request.verdict = attempt.request.verdict.combinedWith(Verdict.mayHaveRun());
 		}
 		this.state.failedAttempts.add(new FailedAttempt.ConnectionFailed(attempt, failure));
 	}
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ExpirySystem.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ExpirySystem.java
@@ -39,7 +39,8 @@
 	}
 
 	private static Problem expiryProblem(Request request) {
-		Verdict verdict = (request.attempt != null) ? request.verdict.then(Verdict.mayHaveRun()) : request.verdict;
+		Verdict verdict = (request.attempt != null) ? request.verdict.combinedWith(Verdict.mayHaveRun())
+				: request.verdict;
 		boolean interrupted = request.emittedTokens > 0;
 		return new Problem(interrupted ? ProblemCode.INTERRUPTED : ProblemCode.DEADLINE_EXCEEDED, verdict,
 				interrupted ? "the answer did not end in time" : "the answer did not begin in time",
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingState.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/serving/ServingState.java
@@ -127,7 +127,7 @@
 		end(attempt, nowNanos);
 		// The engine may have started the attempt before the cancellation arrives, so a
 		// later refusal of the request must not report that it did not run.
-		attempt.request.verdict = attempt.request.verdict.then(Verdict.mayHaveRun());
+		attempt.request.verdict = attempt.request.verdict.combinedWith(Verdict.mayHaveRun());
 		this.commands.add(new ServingCommand.Cancel(attempt.request.id, attempt.id, reason));
 	}
 
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/configuration/ConfigurationStateTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/configuration/ConfigurationStateTests.java
@@ -55,7 +55,7 @@
 		return switch (random.nextInt(5)) {
 			case 0 -> new ConfigurationEvent.HeadRead(revision);
 			case 1 -> new ConfigurationEvent.HeadFailed();
-			case 2 -> new ConfigurationEvent.PeerHeard("peer-" + random.nextInt(3), revision);
+			case 2 -> new ConfigurationEvent.PeerRevisionReceived("peer-" + random.nextInt(3), revision);
 			case 3 -> new ConfigurationEvent.ReadFailed();
 			default -> new ConfigurationEvent.ConfigurationRead(Configuration.of(revision, List.of()));
 		};
@@ -172,7 +172,7 @@
 	// -- helpers
 
 	private void receiveRevision(String address, long revision, long now) {
-		this.state.accept(new ConfigurationEvent.PeerHeard(address, revision), now);
+		this.state.accept(new ConfigurationEvent.PeerRevisionReceived(address, revision), now);
 	}
 
 	private void receiveConfiguration(long revision) {
--- a/rosemaryfront-decisions/src/test/java/org/rosemaryfront/lease/LeaseMachineTests.java
+++ b/rosemaryfront-decisions/src/test/java/org/rosemaryfront/lease/LeaseStateMachineTests.java
@@ -10,7 +10,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class LeaseMachineTests {
+class LeaseStateMachineTests {
 
 	private static final long MILLI = 1_000_000;
 
--- a/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Verdict.java
+++ b/rosemaryfront-model/src/main/java/org/rosemaryfront/model/Verdict.java
@@ -55,7 +55,7 @@
 	 * @param other the verdict of the later attempt
 	 * @return the verdict of the two that is closer to {@link Ran}
 	 */
-	default Verdict then(Verdict other) {
+	default Verdict combinedWith(Verdict other) {
 		return (rank(this) >= rank(other)) ? this : other;
 	}
 
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/configuration/ConfigurationStore.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/configuration/ConfigurationStore.java
@@ -132,7 +132,7 @@
 			}).onErrorResume(PlatformException.class, (ex) -> {
 				EventLog.warn(StoreEvents.COMMIT_ANSWER_LOST, "transaction", change.transaction(), "verdict",
 						ex.verdict().code(), "cause", ex.getMessage());
-				return again(change, Optional.of(snapshot), verdict.then(ex.verdict()), number, ex);
+				return again(change, Optional.of(snapshot), verdict.combinedWith(ex.verdict()), number, ex);
 			}));
 	}
 
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/engine/EngineException.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/engine/EngineException.java
@@ -20,8 +20,8 @@
 
 	private final boolean fenced;
 
-	private EngineException(Verdict verdict, Refusal refusal, ConnectionFailure breakage, boolean fenced, String message,
-			Throwable cause) {
+	private EngineException(Verdict verdict, Refusal refusal, ConnectionFailure breakage, boolean fenced,
+			String message, Throwable cause) {
 		super(message, cause);
 		this.fenced = fenced;
 		this.verdict = verdict;
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/engine/HttpEngineClient.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/engine/HttpEngineClient.java
@@ -146,8 +146,8 @@
 			}
 		})
 			.takeUntil((event) -> event instanceof EngineEvent.Done || event instanceof EngineEvent.Stopped)
-			.concatWith(Flux.defer(() -> guard.ended() ? Flux.empty() : Flux
-				.error(EngineException.broken(ConnectionFailure.CONNECTION_LOST, new IOException("closed before the end")))));
+			.concatWith(Flux.defer(() -> guard.ended() ? Flux.empty() : Flux.error(EngineException
+				.broken(ConnectionFailure.CONNECTION_LOST, new IOException("closed before the end")))));
 	}
 
 	// -- state
--- a/rosemaryfront-wire/src/main/java/org/rosemaryfront/peer/PeerControl.java
+++ b/rosemaryfront-wire/src/main/java/org/rosemaryfront/peer/PeerControl.java
@@ -153,7 +153,7 @@
 		}
 		this.vmListOpen = true;
 		long interval = Math.max(TimeUnit.MILLISECONDS.toNanos(this.timing.vmListMillis()),
-				this.configurationTiming.pollNanos(this.membership.size()));
+				this.configurationTiming.pollIntervalNanos(this.membership.size()));
 		this.cloud.vmList()
 			.timeout(Duration.ofMillis(this.timing.requestMillis()))
 			.map(PeerControl::candidates)
@@ -188,7 +188,7 @@
 			case MembershipCommand.DepartureReceived departure -> departureLearned(departure.notice());
 			case MembershipCommand.PeerMessageReceived peer -> {
 				this.changed = true;
-				this.state.accept(new ConfigurationEvent.PeerHeard(peer.address(), peer.revision()), now);
+				this.state.accept(new ConfigurationEvent.PeerRevisionReceived(peer.address(), peer.revision()), now);
 			}
 			case MembershipCommand.Refuted refuted -> {
 				this.changed = true;
