--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendRow.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendRow.java
@@ -46,7 +46,7 @@
 	final OptionalLong registeredNanos;
 
 	/** The prompt segments that the server is assumed to have cached. */
-	final PartCache cachedSegments = new PartCache();
+	final SegmentCache cachedSegments = new SegmentCache();
 
 	/** Consecutive failed calls. */
 	int consecutiveFailures;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendTable.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/BackendTable.java
@@ -76,7 +76,7 @@
 	/** The last registration of each server, including servers that were removed. */
 	private final Map<String, BackendServer> latestRegistrations = new LinkedHashMap<>();
 
-	private final PartNews segmentUpdates = new PartNews();
+	private final SegmentUpdates segmentUpdates = new SegmentUpdates();
 
 	/** The number of calls sent so far, to all servers. */
 	private long sent;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PromptPrefix.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PromptPrefix.java
@@ -37,13 +37,13 @@
 	 * @return the prompt prefix
 	 */
 	public static PromptPrefix of(List<String> names, List<Integer> tokens) {
-		List<Segment> parts = new ArrayList<>();
+		List<Segment> segments = new ArrayList<>();
 		long prefixHash = 0;
 		for (int i = 0; i < names.size(); i++) {
 			prefixHash = Hashing.wyhashFinal4().hashCharsToLong(Long.toHexString(prefixHash) + '/' + names.get(i));
-			parts.add(new Segment(prefixHash, tokens.get(i)));
+			segments.add(new Segment(prefixHash, tokens.get(i)));
 		}
-		return parts.isEmpty() ? NONE : new PromptPrefix(parts);
+		return segments.isEmpty() ? NONE : new PromptPrefix(segments);
 	}
 
 	// -- queries
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartCache.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/SegmentCache.java
@@ -10,7 +10,7 @@
  * The most recently used prompt segments, which a server is assumed to have in its KV
  * cache.
  */
-final class PartCache {
+final class SegmentCache {
 
 	/** The fraction of an engine's KV cache that is assumed to hold shared segments. */
 	private static final double SHARED_FRACTION = 0.5;
--- a/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/PartNews.java
+++ b/rosemaryfront-decisions/src/main/java/org/rosemaryfront/dispatch/SegmentUpdates.java
@@ -13,7 +13,7 @@
  * processes. Each segment is reported twice: a report may be lost, and an unreported
  * segment is prefilled again at another server.
  */
-final class PartNews {
+final class SegmentUpdates {
 
 	/**
 	 * The maximum number of new segments in a report, which keeps reports well below the
