--- a/rosemaryfront-proof/src/test/java/org/rosemaryfront/proof/EventCatalogueTests.java
+++ b/rosemaryfront-proof/src/test/java/org/rosemaryfront/proof/EventCatalogueTests.java
@@ -1,15 +1,11 @@
 package org.rosemaryfront.proof;
 
-import java.io.IOException;
-import java.io.UncheckedIOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import java.util.stream.Stream;
 
 import org.junit.jupiter.api.Test;
 
@@ -20,9 +16,7 @@
  */
 class EventCatalogueTests {
 
-	private static final Path ROOT = Path.of("..");
-
-	private static final Path PAGE = ROOT.resolve("docs/EVENTS.md");
+	private static final Path PAGE = Path.of("../docs/EVENTS.md");
 
 	private static final Pattern ENUM = Pattern.compile("enum \\w+ implements [^{]*\\bEventCode\\b");
 
@@ -53,7 +47,7 @@
 	void shouldListEveryEventAndNoOther() {
 		Map<Integer, String> inSources = new TreeMap<>();
 		sources().forEach((source) -> inSources.putAll(events(CONSTANT, source, 2, 1)));
-		assertThat(events(LINE, read(PAGE), 1, 2)).as("docs/EVENTS.md; run bin/docs").isEqualTo(inSources);
+		assertThat(events(LINE, MainSources.read(PAGE), 1, 2)).as("docs/EVENTS.md; run bin/docs").isEqualTo(inSources);
 	}
 
 	@Test
@@ -73,25 +67,7 @@
 	}
 
 	private static List<String> sources() {
-		try (Stream<Path> files = Files.walk(ROOT)) {
-			return files.filter((file) -> file.toString().contains("/src/main/java/"))
-				.filter((file) -> file.toString().endsWith(".java"))
-				.map(EventCatalogueTests::read)
-				.filter((source) -> ENUM.matcher(source).find())
-				.toList();
-		}
-		catch (IOException ex) {
-			throw new UncheckedIOException(ex);
-		}
-	}
-
-	private static String read(Path file) {
-		try {
-			return Files.readString(file);
-		}
-		catch (IOException ex) {
-			throw new UncheckedIOException(ex);
-		}
+		return MainSources.all().stream().filter((source) -> ENUM.matcher(source).find()).toList();
 	}
 
 }
--- a/rosemaryfront-model/src/test/java/org/rosemaryfront/model/WrittenNamesTests.java
+++ b/rosemaryfront-proof/src/test/java/org/rosemaryfront/proof/WrittenNamesTests.java
@@ -1,8 +1,5 @@
-package org.rosemaryfront.model;
+package org.rosemaryfront.proof;
 
-import java.io.IOException;
-import java.io.UncheckedIOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -17,15 +14,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against another name for an event, or for an enum constant that is written into
- * events, rows, documents or settings under its own name: whoever searches for it, or
- * reads it in another build, no longer finds it. Unlike the catalogue of events, the
- * names here are never written anew from the sources.
+ * Guards against renaming an event, or an enum constant that is written into events,
+ * rows, documents or settings under its own name: searches and other builds then no
+ * longer find it. Unlike the catalogue of events, the expected names are never
+ * regenerated from the sources.
  */
 class WrittenNamesTests {
 
-	private static final Path ROOT = Path.of("..");
-
 	private static final Pattern COMMENT = Pattern.compile("/\\*.*?\\*/|//[^\\n]*", Pattern.DOTALL);
 
 	private static final Pattern EVENT = Pattern.compile("^\\t([A-Z][A-Z0-9_]*)\\((\\d+)\\)[,;]", Pattern.MULTILINE);
@@ -45,8 +40,8 @@
 		assertThat(found).containsExactlyInAnyOrderElementsOf(lines("events.txt"));
 	}
 
-	// A line holds the constants of one enum in their order, since places are told as
-	// well; the enum itself may get another name.
+	// A line holds the constants of one enum in their order, because ordinals are sent as
+	// well; the enum itself may be renamed.
 	@Test
 	void shouldKeepNamesOfEnumConstantsThatAreWritten() {
 		List<String> found = sources().flatMap((source) -> ENUM.matcher(source).results())
@@ -62,29 +57,11 @@
 	}
 
 	private static List<String> lines(String resource) {
-		return read(Path.of("src/test/resources/names", resource)).lines().toList();
+		return MainSources.read(Path.of("src/test/resources/names", resource)).lines().toList();
 	}
 
 	private static Stream<String> sources() {
-		try (Stream<Path> files = Files.walk(ROOT)) {
-			return files.filter((file) -> file.toString().contains("/src/main/java/"))
-				.filter((file) -> file.toString().endsWith(".java"))
-				.map((file) -> COMMENT.matcher(read(file)).replaceAll(""))
-				.toList()
-				.stream();
-		}
-		catch (IOException ex) {
-			throw new UncheckedIOException(ex);
-		}
-	}
-
-	private static String read(Path file) {
-		try {
-			return Files.readString(file);
-		}
-		catch (IOException ex) {
-			throw new UncheckedIOException(ex);
-		}
+		return MainSources.all().stream().map((source) -> COMMENT.matcher(source).replaceAll(""));
 	}
 
 }
