--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/MetricNamesTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/MetricNamesTests.java
@@ -10,7 +10,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Guards against metrics that nobody's graphs find any more under their names. */
+/** Guards against renamed metrics, which dashboards no longer find. */
 class MetricNamesTests {
 
 	private static final List<String> NAMES = List.of("gauges/callers.connections",
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ReportFormsTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/ReportFormsTests.java
@@ -27,8 +27,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against reports that gateways of another build read as something else, since a
- * field has another number or type, or a phase another place.
+ * Guards against reports that gateways of another build misread because the number or
+ * type of a field, or the number of a phase, has changed.
  */
 class ReportFormsTests {
 
@@ -114,14 +114,14 @@
 
 	@ParameterizedTest
 	@CsvSource({ "TRIAL, 1", "MOVING, 2", "SUCCEEDED, 3", "ROLLED_BACK, 4" })
-	void shouldKeepNumberOfPhaseWhenItIsTold(Phase phase, int number) {
-		Rollouts teller = rollouts();
-		teller.ordered(new RolloutOrder("app", "v2", 4_000, 9));
-		RolloutNews news = teller.updates((_) -> Optional.of(phase), 1).getFirst();
-		assertThat(hex(news.toByteArray())).isEqualTo("0a0361707012027632" + "18a01f" + "2009" + "280" + number);
-		Rollouts hearer = rollouts();
-		hearer.receive("gateway-2/1", teller.updates((_) -> Optional.of(phase), 1), 1);
-		assertThat(hearer.table().find("app").orElseThrow().phase()).isEqualTo(phase);
+	void shouldKeepNumberOfPhaseWhenReported(Phase phase, int number) {
+		Rollouts sender = rollouts();
+		sender.ordered(new RolloutOrder("app", "v2", 4_000, 9));
+		RolloutNews update = sender.updates((_) -> Optional.of(phase), 1).getFirst();
+		assertThat(hex(update.toByteArray())).isEqualTo("0a0361707012027632" + "18a01f" + "2009" + "280" + number);
+		Rollouts receiver = rollouts();
+		receiver.receive("gateway-2/1", sender.updates((_) -> Optional.of(phase), 1), 1);
+		assertThat(receiver.table().find("app").orElseThrow().phase()).isEqualTo(phase);
 	}
 
 	private static Rollouts rollouts() {
--- a/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RowFormsTests.java
+++ b/rosemaryfront-gateway/src/test/java/org/rosemaryfront/gateway/RowFormsTests.java
@@ -24,8 +24,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against rows that gateways of another build cannot find or read, since a table,
- * a key or a field has another name.
+ * Guards against rows that gateways of another build cannot find or read because a table,
+ * a key or a field was renamed.
  */
 class RowFormsTests {
 
@@ -105,7 +105,7 @@
 
 	@ParameterizedTest
 	@CsvSource({ "SUCCEEDED, 2", "ROLLED_BACK, 3" })
-	void shouldReadRolloutOfTodayWhenDutiesPassOn(String phase, int place) {
+	void shouldReadStoredRolloutWhenLeaseHolderChanges(String phase, int place) {
 		this.rows.put("rollouts", "app",
 				"{\"to\":\"v2\",\"number\":9,\"sinceMillis\":123,\"phase\":\"" + phase + "\"}");
 		RolloutDuty duty = rolloutDuty();
--- a/rosemaryfront-model/src/test/java/org/rosemaryfront/model/DeclarationFormsTests.java
+++ b/rosemaryfront-model/src/test/java/org/rosemaryfront/model/DeclarationFormsTests.java
@@ -50,7 +50,7 @@
 	@MethodSource("resources")
 	void shouldKeepFormOfDeclarationWhenEveryFieldIsSet(Resource resource) throws JsonProcessingException {
 		JsonNode form = MAPPER.readTree(FORMS.get(resource));
-		// Once more through text: what is written keeps its types of numbers otherwise.
+		// Parsed from text again: a tree built from values keeps their number types.
 		assertThat(MAPPER.readTree(ResourceCodec.write(resource).toString())).isEqualTo(form);
 		assertThat(ResourceCodec.read(form)).isEqualTo(resource);
 	}
--- a/rosemaryfront-wire/src/test/java/org/rosemaryfront/platform/PlatformFormsTests.java
+++ b/rosemaryfront-wire/src/test/java/org/rosemaryfront/platform/PlatformFormsTests.java
@@ -106,7 +106,7 @@
 		return PlatformCodec.tree(text.getBytes(StandardCharsets.UTF_8));
 	}
 
-	// Once more through text: what is written keeps its types of numbers otherwise.
+	// Parsed from text again: a tree built from values keeps their number types.
 	private static JsonNode written(JsonNode document) {
 		return PlatformCodec.tree(PlatformCodec.bytes(document));
 	}
